--- a/bench/routing.py
+++ b/bench/routing.py
@@ -126,14 +126,14 @@
                     hall="a",
                     slots=view.slots,
                     until=now + 1,
-                    own=own,
-                    own_reported=min(own, view.inside),
+                    local_in_flight=own,
+                    local_reported=min(own, view.inside),
                     running=min(view.inside, SLOTS),
                     queued=max(0, view.inside - SLOTS),
                     capacity=SLOTS,
                     step_ms=6.0,
                     reported_at=view.at,
-                    tie=rendezvous.score(str(entry), str(number)),
+                    tie_breaker=rendezvous.score(str(entry), str(number)),
                 )
             )
         return rows
@@ -170,13 +170,13 @@
     rows = [
         item._replace(slots=10**6) for item in world.candidates(entry, now)
     ]
-    return int(routing.choose(rows, routing.Wish(hall="a"), now).name)
+    return int(routing.choose(rows, routing.Requirements(hall="a"), now).name)
 
 
 def by_grant(world: World, entry: int, now: float) -> int | None:
     """Choose by expected wait, only on a grant: delayed assignment."""
     rows = world.candidates(entry, now)
-    choice = routing.choose(rows, routing.Wish(hall="a"), now)
+    choice = routing.choose(rows, routing.Requirements(hall="a"), now)
     return int(choice.name) if choice else None
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -253,7 +253,7 @@
         )
         for n in range(count)
     ]
-    wish = routing.Wish(hall="a", session="s", prefix="p")
+    wish = routing.Requirements(hall="a", session="s", prefix="p")
     return (
         seconds(lambda: [routing.choose(rows, wish, 1.0) for _ in range(50)])
         / 50
--- a/features/models/restarts.py
+++ b/features/models/restarts.py
@@ -289,7 +289,7 @@
             closed = before.address in self.listing.connections.closed
             _same("connections", closed, before)
         self.seen[start.name] = start.number
-        _same("own", view.own == start.own, start)
+        _same("own", view.local_in_flight == start.own, start)
         others = self.listing.usage.others(view.upstream.start.key)
         _same("others", others == start.others, start)
         _same("load", view.load is None or view.load in start.loads, start)
@@ -340,7 +340,7 @@
 
 def _released_by_name():
     def release(self, asked):
-        self.membership.views_by_name[asked.choice.name].own -= 1
+        self.membership.views_by_name[asked.choice.name].local_in_flight -= 1
 
     return mock.patch.object(parts.Parts, "release", release)
 
@@ -384,7 +384,7 @@
 
 RULES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
     "as built": contextlib.nullcontext,
-    "keeping own requests": _keeping("own"),
+    "keeping own requests": _keeping("local_in_flight"),
     "keeping the circuit": _keeping("breaker"),
     "keeping the load": _keeping("load", "load_at"),
     "keeping the refusal": _keeping("refused_at"),
--- a/features/models/shedding.py
+++ b/features/models/shedding.py
@@ -170,7 +170,7 @@
             method="GET",
             path="/x",
             headers=[("Request-Id", number)],
-            wish=routing.Wish(hall="a"),
+            wish=routing.Requirements(hall="a"),
         )
         self.calls.append(asked)
         done = defer.ensureDeferred(self._serve(asked))
--- a/features/models/suspects.py
+++ b/features/models/suspects.py
@@ -171,7 +171,9 @@
             caller.refused += 1
             return
         candidates = entry.suspects.apart(asked, self._candidates())
-        free = [item for item in candidates if item.own < item.slots]
+        free = [
+            item for item in candidates if item.local_in_flight < item.slots
+        ]
         if not free:
             return
         # Those that were refused lately come last, as in routing.
@@ -190,8 +192,8 @@
                 hall="a",
                 slots=SLOTS,
                 until=0.0,
-                own=sum(r.at is item for r in self.running),
-                own_reported=0,
+                local_in_flight=sum(r.at is item for r in self.running),
+                local_reported=0,
                 running=0,
                 queued=0,
                 capacity=SLOTS,
--- a/features/steps/entry_groups_steps.py
+++ b/features/steps/entry_groups_steps.py
@@ -59,7 +59,7 @@
     """Return the groups whose ranks a request may be sent to."""
     rows = context.listing.directory.candidates(TARGET)
     rows = context.outages.open(context.asked, rows)
-    return {row.group for row in rows if row.own < row.slots}
+    return {row.group for row in rows if row.local_in_flight < row.slots}
 
 
 @when("{count:d} ranks of the {which} group refuse requests")
@@ -123,7 +123,7 @@
 def _use_slots(context, each):
     views = context.listing.directory.views_by_name.values()
     for view in views:
-        view.own = each
+        view.local_in_flight = each
 
 
 @when("{used:d} of {slots:d} slots of each group are in use")
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -75,9 +75,12 @@
 def _load(clocks):
     view = _view(clocks)
     load = announcement.Load(6, 3, 6)
-    view.note_load(load, clocks.monotonic(), others=0)
+    view.note_load(load, clocks.monotonic(), remote_in_flight=0)
     return lambda: (
-        view.candidate(clocks.monotonic(), others=0, waiting=0).running > 0
+        view.candidate(
+            clocks.monotonic(), remote_in_flight=0, waiting=0
+        ).running
+        > 0
     )
 
 
@@ -85,7 +88,9 @@
     view = _view(clocks)
     view.refused_at = clocks.monotonic()
     return lambda: (
-        view.candidate(clocks.monotonic(), others=0, waiting=0).refused
+        view.candidate(
+            clocks.monotonic(), remote_in_flight=0, waiting=0
+        ).refused
     )
 
 
--- a/packages/reelscale-core/src/reelscale_core/routing.py
+++ b/packages/reelscale-core/src/reelscale_core/routing.py
@@ -37,8 +37,8 @@
       hall: Its data hall.
       slots: Slots granted to this entry.
       until: Monotonic seconds at which the grant lapses.
-      own: Requests of this entry in progress there.
-      own_reported: How many of those the report already counts.
+      local_in_flight: Requests of this entry in progress there.
+      local_reported: How many of those the report already counts.
       running: Requests in progress there, as reported.
       queued: Requests waiting there, as reported.
       capacity: Requests that it runs at once.
@@ -46,7 +46,7 @@
       reported_at: Monotonic seconds of the report.
       allowed: Whether the circuit lets a request through.
       refused: Whether it has refused a request lately.
-      tie: Settles ties, by entry, so that entries do not crowd together.
+      tie_breaker: Orders equal scores, differently for each entry.
       start: Key of its start, where starts are told apart.
       group: The group of ranks that it is in, "" while not known.
     """
@@ -55,8 +55,8 @@
     hall: str
     slots: int
     until: float
-    own: int
-    own_reported: int
+    local_in_flight: int
+    local_reported: int
     running: int
     queued: int
     capacity: int
@@ -64,12 +64,12 @@
     reported_at: float
     allowed: bool = True
     refused: bool = False
-    tie: int = 0
+    tie_breaker: int = 0
     start: str = ""
     group: str = ""
 
 
-class Wish(NamedTuple):
+class Requirements(NamedTuple):
     """What a request asks of routing.
 
     Attributes:
@@ -106,14 +106,14 @@
     return (
         candidate.allowed
         and now < candidate.until
-        and candidate.own < candidate.slots
+        and candidate.local_in_flight < candidate.slots
     )
 
 
 def wait_ms(candidate: Candidate, now: float) -> float:
     """Estimate how long a new request would wait, in milliseconds."""
     fresh = now - candidate.reported_at < STALE_S
-    since = max(0, candidate.own - candidate.own_reported)
+    since = max(0, candidate.local_in_flight - candidate.local_reported)
     running = (candidate.running if fresh else 0) + since
     ahead = (candidate.queued if fresh else 0) + max(
         0, running - candidate.capacity
@@ -130,7 +130,7 @@
 
 
 def choose(
-    candidates: Iterable[Candidate], wish: Wish, now: float
+    candidates: Iterable[Candidate], wish: Requirements, now: float
 ) -> Choice | None:
     """Choose an upstream, or None when none may take new work.
 
@@ -154,7 +154,7 @@
         cost += REFUSED_MS if item.refused else 0.0
         cost -= SESSION_MS if item.name == home else 0.0
         cost -= PREFIX_MS if item.name == warm else 0.0
-        return cost, item.tie, item.name
+        return cost, item.tie_breaker, item.name
 
     best = min(fit, key=score)
     reason = "wait"
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
@@ -274,7 +274,7 @@
             LOG.info(
                 "An upstream has started again; nothing of before holds.",
                 born_before_ms=view.upstream.born_ms,
-                own_before=view.own,
+                own_before=view.local_in_flight,
                 **item._asdict(),
             )
             view = self._new_view(item)
@@ -290,8 +290,8 @@
 
     def _new_view(self, item: announcement.Announcement) -> views.View:
         """Begin to see a start of an upstream, of which nothing is known."""
-        tie = rendezvous.score(self._name, item.name)
-        view = views.View(upstream=item, tie=tie)
+        tie_breaker = rendezvous.score(self._name, item.name)
+        view = views.View(upstream=item, tie_breaker=tie_breaker)
         self.views_by_name[item.name] = view
         return view
 
@@ -315,9 +315,13 @@
             return
         view.gone = True
         self._has_news = True
-        LOG.info("An upstream is no longer listed.", name=name, own=view.own)
+        LOG.info(
+            "An upstream is no longer listed.",
+            name=name,
+            own=view.local_in_flight,
+        )
         self._connections.close_idle(upstream.address)
-        if not view.own:
+        if not view.local_in_flight:
             del self.views_by_name[name]
 
     def _note_down(self, down: error.CodedError) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/granted_view.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/granted_view.py
@@ -27,31 +27,31 @@
       pulse: The newest answer of its agent.
       heard_at: Monotonic seconds just before that answer was asked for, or
         NEVER if its grant no longer counts.
-      own: Requests of this entry in progress there.
-      own_reported: Those in progress when the pulse was asked for.
+      local_in_flight: Requests of this entry in progress there.
+      local_reported: Those in progress when the pulse was asked for.
       breaker: Its circuit breaker.
       used_at: Monotonic seconds at which a request last wanted it.
       asked_at: Monotonic seconds of the last heartbeat sent.
       beating: The heartbeat in progress, if any.
-      tie: Settles ties between upstreams, for this entry alone.
+      tie_breaker: Settles ties between upstreams, for this entry alone.
       heat: Recent tokens of each expert, as last asked for.
     """
 
     upstream: model.Upstream
     pulse: ttypes.Pulse | None = None
     heard_at: float = NEVER
-    own: int = 0
-    own_reported: int = 0
+    local_in_flight: int = 0
+    local_reported: int = 0
     breaker: circuit.Circuit = circuit.CLOSED
     used_at: float = NEVER
     asked_at: float = NEVER
     beating: defer.Deferred | None = None
-    tie: int = 0
+    tie_breaker: int = 0
     heat: Sequence[int] = ()
 
     def due(self, now: float) -> bool:
         """Tell whether it is time for a heartbeat."""
-        warm = self.own > 0 or now - self.used_at < WARM_S
+        warm = self.local_in_flight > 0 or now - self.used_at < WARM_S
         return warm or now - self.asked_at >= IDLE_EVERY_S
 
     def candidate(self, now: float) -> routing.Candidate:
@@ -60,7 +60,18 @@
         name, hall = self.upstream.name, self.upstream.hall
         if pulse is None:
             return routing.Candidate(
-                name, hall, 0, 0.0, self.own, 0, 0, 0, 0, 0.0, 0.0, False
+                name,
+                hall,
+                0,
+                0.0,
+                self.local_in_flight,
+                0,
+                0,
+                0,
+                0,
+                0.0,
+                0.0,
+                False,
             )
         lapse_s = pulse.grant.lapse_ms / 1000
         return routing.Candidate(
@@ -68,8 +79,8 @@
             hall=hall,
             slots=pulse.grant.slots,
             until=self.heard_at + lapse_s,
-            own=self.own,
-            own_reported=self.own_reported,
+            local_in_flight=self.local_in_flight,
+            local_reported=self.local_reported,
             running=pulse.running,
             queued=pulse.queued,
             capacity=pulse.capacity,
@@ -78,5 +89,5 @@
             allowed=circuit.allows(self.breaker, now)
             and pulse.healthy
             and not pulse.leaving,
-            tie=self.tie,
+            tie_breaker=self.tie_breaker,
         )
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
@@ -139,8 +139,10 @@
         """Return the view of an upstream, also outside the subset."""
         found = self.views_by_name.get(upstream.name)
         if found is None:
-            tie = rendezvous.score(self._name, upstream.name)
-            found = granted_view.View(upstream=upstream, tie=tie)
+            tie_breaker = rendezvous.score(self._name, upstream.name)
+            found = granted_view.View(
+                upstream=upstream, tie_breaker=tie_breaker
+            )
             self.views_by_name[upstream.name] = found
         return found
 
@@ -158,7 +160,7 @@
                 rendezvous.subset(self._name, names, size=self._subset)
             )
         for name in set(self.views_by_name) - wanted:
-            if not self.views_by_name[name].own:
+            if not self.views_by_name[name].local_in_flight:
                 del self.views_by_name[name]
         for name in wanted:
             upstream = state.upstreams_by_name[name]
@@ -240,7 +242,7 @@
     async def _beat(self, view: granted_view.View, heat: bool) -> None:
         """Exchange a heartbeat with one agent."""
         asked_at = self._clock.monotonic()
-        own = view.own
+        own = view.local_in_flight
         waiting = self.waiting_by_target.get(view.upstream.target, 0)
         beat = self._message({view.upstream.name: own + waiting})
         beat.want_heat = heat
@@ -264,7 +266,7 @@
         view.pulse = pulse
         view.heat = pulse.heat or view.heat
         view.heard_at = asked_at
-        view.own_reported = own
+        view.local_reported = own
         self._config.hear(pulse.peer, pulse.offset)
         for listener in self.on_change:
             listener()
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
@@ -104,7 +104,9 @@
         for group, found in by_group.items():
             if routing.used(found) >= self._targets.limit(target, group):
                 # Streams must keep their pace: each has what it uses now.
-                found = [item._replace(slots=item.own) for item in found]
+                found = [
+                    item._replace(slots=item.local_in_flight) for item in found
+                ]
             rows += found
         return rows
 
@@ -133,9 +135,9 @@
         limited = self.rate_limits.blocks(start.key)
         return view.candidate(
             now,
-            others=self._usage.others(start.key),
+            remote_in_flight=self._usage.others(start.key),
             waiting=self._targets.room(upstream.target, upstream.slots),
-            unwanted=limited or self.backoffs.blocks(start),
+            avoided=limited or self.backoffs.blocks(start),
             group=self.groups.of(start.key),
         )
 
@@ -266,7 +268,9 @@
         if view is None:
             return
         now = self._clock.monotonic()
-        view.note_load(load, now, others=self._usage.others(start.key))
+        view.note_load(
+            load, now, remote_in_flight=self._usage.others(start.key)
+        )
 
     def note_refused(self, start: announcement.Start) -> None:
         """Note that an upstream refused a request without running it."""
@@ -285,4 +289,8 @@
     def counts(self) -> dict[str, int]:
         """Return this entry's requests in progress by start."""
         rows = self.views_by_name.values()
-        return {v.upstream.start.key: v.own for v in rows if v.own}
+        return {
+            v.upstream.start.key: v.local_in_flight
+            for v in rows
+            if v.local_in_flight
+        }
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/view.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/view.py
@@ -27,27 +27,27 @@
 
     Attributes:
       upstream: What it announced.
-      own: Requests of this entry in progress there.
+      local_in_flight: Requests of this entry in progress there.
       breaker: Its circuit breaker.
       load: What its newest answer told of its load.
       load_at: Monotonic seconds at which that came.
-      own_then: Requests of this entry in progress there at that time.
-      others_then: Those of other entries at that time.
+      local_at_report: Requests of this entry in progress there at that time.
+      remote_at_report: Those of other entries at that time.
       refused_at: Monotonic seconds at which it last refused a request.
       gone: Whether it is no longer listed.
-      tie: Settles ties between upstreams, for this entry alone.
+      tie_breaker: Settles ties between upstreams, for this entry alone.
     """
 
     upstream: announcement.Announcement
-    own: int = 0
+    local_in_flight: int = 0
     breaker: circuit.Circuit = circuit.CLOSED
     load: announcement.Load | None = None
     load_at: float = float("-inf")
-    own_then: int = 0
-    others_then: int = 0
+    local_at_report: int = 0
+    remote_at_report: int = 0
     refused_at: float = float("-inf")
     gone: bool = False
-    tie: int = 0
+    tie_breaker: int = 0
 
     def serves(self, target: str) -> bool:
         """Tell whether it may get new work of a target."""
@@ -58,58 +58,61 @@
         self,
         now: float,
         *,
-        others: int,
+        remote_in_flight: int,
         waiting: int,
-        unwanted: bool = False,
+        avoided: bool = False,
         group: str = "",
     ) -> routing.Candidate:
         """Return what routing looks at.
 
         Args:
           now: Monotonic seconds.
-          others: Requests that other entries have there.
+          remote_in_flight: Requests that other entries have there.
           waiting: Requests that may wait there.
-          unwanted: Whether it wants no request now, as it said itself.
+          avoided: Whether it wants no request now, as it said itself.
           group: The group of ranks that it is in, "" while not known.
         """
         up = self.upstream
-        expected = max(self.own + others, self._reported(now, others))
+        expected = max(
+            self.local_in_flight + remote_in_flight,
+            self._reported(now, remote_in_flight),
+        )
         room = up.slots + waiting - expected
         return routing.Candidate(
             name=up.name,
             hall=up.hall,
-            slots=self.own + max(0, room),
+            slots=self.local_in_flight + max(0, room),
             until=float("inf"),
-            own=self.own,
-            own_reported=self.own,
+            local_in_flight=self.local_in_flight,
+            local_reported=self.local_in_flight,
             running=min(expected, up.slots),
             queued=max(0, expected - up.slots),
             capacity=up.slots,
             step_ms=SLOT_MS,
             reported_at=now,
-            allowed=not unwanted and circuit.allows(self.breaker, now),
+            allowed=not avoided and circuit.allows(self.breaker, now),
             refused=now - self.refused_at < REFUSED_S,
-            tie=self.tie,
+            tie_breaker=self.tie_breaker,
             start=up.start.key,
             group=group,
         )
 
     def note_load(
-        self, load: announcement.Load, now: float, *, others: int
+        self, load: announcement.Load, now: float, *, remote_in_flight: int
     ) -> None:
         """Take what an answer told of its load.
 
         Args:
           load: What it told.
           now: Monotonic seconds.
-          others: Requests that other entries have there.
+          remote_in_flight: Requests that other entries have there.
         """
         self.load = load
         self.load_at = now
-        self.own_then = self.own
-        self.others_then = others
+        self.local_at_report = self.local_in_flight
+        self.remote_at_report = remote_in_flight
 
-    def _reported(self, now: float, others: int) -> int:
+    def _reported(self, now: float, remote_in_flight: int) -> int:
         """Return what its newest answer says it has, and what came since.
 
         It may have more than the entries know of: requests of one that has
@@ -117,6 +120,6 @@
         """
         if self.load is None or now - self.load_at > LOAD_FRESH_S:
             return 0
-        then = self.own_then + self.others_then
-        since = self.own + others - then
+        then = self.local_at_report + self.remote_at_report
+        since = self.local_in_flight + remote_in_flight - then
         return self.load.running + self.load.waiting + since
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/call.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/call.py
@@ -82,7 +82,7 @@
     once: bool = False
     once_key: str = ""
     repeatable: bool = True
-    wish: routing.Wish | None = None
+    wish: routing.Requirements | None = None
     choice: routing.Choice | None = None
     view: Any = None
     waiting: admission.Waiting | None = None
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/classify.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/classify.py
@@ -64,7 +64,7 @@
     asked.once = bool(asked.once_key)
     asked.repeatable = not asked.once
     session = asked.http.getHeader("x-session-id") or ""
-    asked.wish = routing.Wish(
+    asked.wish = routing.Requirements(
         hall=given.settings.hall,
         session=f"{asked.workspace.name}/{session}" if session else "",
         prefix=_prefix(asked, data),
@@ -85,7 +85,7 @@
     )
     asked.once = marked or bool(asked.once_key)
     asked.repeatable = not asked.once and asked.method in IDEMPOTENT
-    asked.wish = routing.Wish(hall=given.settings.hall)
+    asked.wish = routing.Requirements(hall=given.settings.hall)
 
 
 def _json_body(asked: call.Call) -> dict[str, Any]:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/parts.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/parts.py
@@ -46,11 +46,11 @@
     """An upstream as this entry sees it.
 
     Attributes:
-      own: Requests of this entry in progress there.
+      local_in_flight: Requests of this entry in progress there.
       breaker: Its circuit breaker.
     """
 
-    own: int
+    local_in_flight: int
     breaker: circuit.Circuit
 
 
@@ -248,7 +248,7 @@
         """Take the slot that a request was given."""
         view = self.membership.views_by_name[asked.choice.name]
         asked.view = view
-        view.own += 1
+        view.local_in_flight += 1
         view.breaker = circuit.sent(view.breaker)
         self.membership.note_sent(view)
         self.outages.note_chosen(asked, asked.choice.name)
@@ -261,7 +261,7 @@
         view, asked.view = asked.view, None
         asked.choice = None
         if view is not None:
-            view.own -= 1
+            view.local_in_flight -= 1
             self.on_own_change()
         self.pump()
 
@@ -274,8 +274,8 @@
         if view is None:
             return asked.view
         if view is not asked.view:
-            asked.view.own -= 1
-            view.own += 1
+            asked.view.local_in_flight -= 1
+            view.local_in_flight += 1
             asked.view = view
         return view
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
@@ -83,4 +83,4 @@
     goal_s = found.goal_s or math.inf
     start_by = asked.arrived_at + goal_s * WAIT_SHARE
     asked.deadline = min(asked.deadline, asked.end_by, start_by)
-    asked.wish = routing.Wish(hall=given.settings.hall)
+    asked.wish = routing.Requirements(hall=given.settings.hall)
