--- a/features/holder_fakes.py
+++ b/features/holder_fakes.py
@@ -6,7 +6,7 @@
 import types
 
 from reelscale_core import clock, rank
-from reelscale_daemon.controllers import group, told_ranks
+from reelscale_daemon.controllers import group, rank_reports
 from twisted.internet import task
 
 RANKS = ("r0", "r1")
@@ -34,9 +34,9 @@
 
     def choose(self, by_name, limits):
         """Want one layout, always."""
-        return told_ranks.Better((((0,), (1,)),), 2.0, 1.0, 1)
+        return rank_reports.BetterLayout((((0,), (1,)),), 2.0, 1.0, 1)
 
-    def note_in_use(self, by_name, wanted):
+    def record_in_use(self, by_name, wanted):
         """Do nothing."""
 
     async def order(self, member, order, *, fence, epoch):
--- a/features/steps/agent_lease_steps.py
+++ b/features/steps/agent_lease_steps.py
@@ -73,7 +73,7 @@
     context.warned = watch.start()
     context.add_cleanup(watch.stop)
     context.ended, context.retaken = [], False
-    context.group.take(1, finish_only=finish_only)
+    context.group.acquire(1, finish_only=finish_only)
     done = defer.ensureDeferred(context.group.run())
     done.addBoth(context.ended.append)
     context.clock.pump([0.1] * 20)
@@ -127,7 +127,7 @@
 def _(context, outcome):
     context.ranks.outcome = OUTCOMES[outcome]
     context.group.release()
-    context.group.take(2)
+    context.group.acquire(2)
     context.retaken = True
     context.ranks.answer()
     context.clock.pump([0.1] * 20)
@@ -164,7 +164,7 @@
 def _(context):
     assert not context.ended, context.ended
     if not context.retaken:
-        context.group.take(2)
+        context.group.acquire(2)
     context.clock.pump([0.1] * 20)
     assert not context.ended, context.ended
     after = context.ranks.sent[len(context.before) :]
--- a/features/steps/agent_stop_steps.py
+++ b/features/steps/agent_stop_steps.py
@@ -47,7 +47,7 @@
 class _Own:
     """A rank that is the first of a group at rest."""
 
-    async def tell(self, *, counts, experts):
+    async def report(self, *, counts, experts):
         found = types.SimpleNamespace(
             size=4, number=0, prepared=None, held=None, open=True
         )
@@ -70,7 +70,7 @@
     def release(self):
         """Do nothing."""
 
-    def take(self, fence, **_):
+    def acquire(self, fence, **_):
         """Do nothing."""
 
 
@@ -81,10 +81,10 @@
         reactor=context.clock,
         clock=clock.FakeClock(),
         lease_on=lambda _: context.lease,
-        own=_Own(),
+        local_rank=_Own(),
         group=context.group,
         members=types.SimpleNamespace(
-            following=False, group="g", note_own=lambda _: None
+            following=False, group="g", record_local_rank=lambda _: None
         ),
     )
 
@@ -93,7 +93,7 @@
 def _(context):
     _make_keeper(context)
     context.keeper.start()
-    context.clock.advance(lease_keeper.RELUCTANT_S)
+    context.clock.advance(lease_keeper.NON_CANDIDATE_POLL_S)
     assert context.lease.calls == ["renew"], context.lease.calls
 
 
@@ -115,14 +115,14 @@
     _make_keeper(context)
     context.group.limits = defer.Deferred()
     context.keeper.start()
-    context.clock.advance(lease_keeper.RELUCTANT_S)
+    context.clock.advance(lease_keeper.NON_CANDIDATE_POLL_S)
     assert not context.lease.calls, context.lease.calls
 
 
 @when("the limits are answered")
 def _(context):
     context.group.limits.callback(None)
-    context.clock.advance(lease_keeper.RELUCTANT_S)
+    context.clock.advance(lease_keeper.NON_CANDIDATE_POLL_S)
 
 
 @then("the lease has been left and not renewed")
@@ -164,7 +164,7 @@
 @when("the holder is told to stop meanwhile")
 def _(context):
     context.ranks.on_hold = context.group.stop
-    context.group.take(1)
+    context.group.acquire(1)
     context.ended = []
     done = defer.ensureDeferred(context.group.run())
     done.addBoth(context.ended.append)
--- a/features/steps/layouts_under_shift_steps.py
+++ b/features/steps/layouts_under_shift_steps.py
@@ -8,7 +8,7 @@
 from behave import then, when
 from reelscale_core import clock, demand, rank, replicas
 from reelscale_daemon.adapters import base
-from reelscale_daemon.controllers import arming, told_ranks
+from reelscale_daemon.controllers import arming, rank_reports
 
 from features.models import (
     chooser,
@@ -40,7 +40,7 @@
         load_s * 1000 / 8,
         1000.0 if load_s else 0.0,
     )
-    return told_ranks.bounds_of(limits)
+    return rank_reports.bounds_of(limits)
 
 
 @when(
--- a/features/steps/loops_steps.py
+++ b/features/steps/loops_steps.py
@@ -121,7 +121,7 @@
     context.clock = context.group.progress._clock
     context.work = Work(dict)
     ranks.ask_all = context.work
-    context.group.take(1)
+    context.group.acquire(1)
     defer.ensureDeferred(context.group.run())
     return context.group.progress
 
@@ -145,11 +145,16 @@
         reactor=context.reactor,
         clock=context.clock,
         lease_on=lambda _: given(renew=context.work if renew else held),
-        own=given(tell=context.work if tell else well),
+        local_rank=given(report=context.work if tell else well),
         group=given(
-            learn_limits=nothing, release=lambda: None, holds=True, take=None
+            learn_limits=nothing,
+            release=lambda: None,
+            holds=True,
+            acquire=None,
+        ),
+        members=given(
+            following=False, group="g", record_local_rank=lambda _: None
         ),
-        members=given(following=False, group="g", note_own=lambda _: None),
     )
     made._place = 0
     made.start()
--- a/features/steps/platform_reach_steps.py
+++ b/features/steps/platform_reach_steps.py
@@ -24,7 +24,7 @@
     async def call(self, method, message, *, timeout_s):
         if self.silent:
             raise link.LinkError(peer="a", step=method, written=False)
-        return rank_wire.to_told(rank_wire.Told(self.told))
+        return rank_wire.report_to_thrift(rank_wire.RankReport(self.told))
 
 
 class _OldPort:
--- a/features/steps/rank_starts_steps.py
+++ b/features/steps/rank_starts_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from reelscale_core import clock, demand, rank
 from reelscale_daemon import rank_wire
-from reelscale_daemon.controllers import told_ranks
+from reelscale_daemon.controllers import rank_reports
 from twisted.internet import defer
 
 from features import holder_fakes
@@ -123,7 +123,7 @@
 
 @when("it changes the layout")
 def _(context):
-    context.group.take(1)
+    context.group.acquire(1)
     defer.ensureDeferred(context.group.run())
     for _ in range(200):
         context.clock.advance(0.05)
@@ -172,23 +172,23 @@
 def _(context):
     context.asked = []
     found = rank.Rank("g", 1, 0, 1, True, 5, 0, born_ms=BORN_MS)
-    context.told = rank_wire.Told(found, None, ((1,),))
+    context.told = rank_wire.RankReport(found, None, ((1,),))
 
-    async def tell(member, *, experts, counts=True):
+    async def report(member, *, experts, counts=True):
         context.asked.append(experts)
         return context.told if experts else context.told._replace(experts=None)
 
     given_ = types.SimpleNamespace
-    made = told_ranks.ToldRanks(
+    made = rank_reports.RankReports(
         clock=clock.FakeClock(),
-        reach=given_(tell=tell),
+        reach=given_(report=report),
         members=given_(by_name={"r0": "r0"}, group="g", one_group=True),
     )
     context.made = made
     for _ in range(2):
         defer.ensureDeferred(made.ask_all())
     again = found._replace(born_ms=BORN_MS + 5)
-    context.told = rank_wire.Told(again, None, ((2,),))
+    context.told = rank_wire.RankReport(again, None, ((2,),))
     defer.ensureDeferred(made.ask_all())
 
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
@@ -151,7 +151,7 @@
         ]
         return peer_lists.reply(self.offset, have_offset, listed)
 
-    def hear(self, peer: str, offset: int) -> None:
+    def on_peer_offset(self, peer: str, offset: int) -> None:
         """Note how far a peer is; take its list if the log does not lead."""
         if offset <= self.offset:
             return
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
@@ -16,7 +16,7 @@
 
 from .. import logs
 from ..adapters import base
-from . import arming, follower, holds, members, reach, told_ranks
+from . import arming, follower, holds, members, rank_reports, reach
 
 LOG = logs.Part("group")
 # Seconds between two looks at all ranks; what requests want shifts within
@@ -65,7 +65,7 @@
         reactor: Any,
         clock: clock.Clock,
         reach: reach.Reach,
-        ranks: told_ranks.ToldRanks,
+        ranks: rank_reports.RankReports,
         engines: base.Engines,
         members: members.Members,
         target: str,
@@ -162,7 +162,7 @@
             return LOADING_TICK_S
         return TICK_S if self._busy or self._finish_only else IDLE_TICK_S
 
-    def take(self, fence: int, *, finish_only: bool = False) -> None:
+    def acquire(self, fence: int, *, finish_only: bool = False) -> None:
         """Look after the group under a fence from now on.
 
         Args:
@@ -357,7 +357,7 @@
             return
         self._wanted = None
         LOG.info("A layout is in use at all ranks.", version=wanted.version)
-        self._ranks.note_in_use(by_name, wanted)
+        self._ranks.record_in_use(by_name, wanted)
 
     def _is_busy(self, by_name: Mapping[str, rank.Rank]) -> bool:
         """Tell whether the group has so much to do that its layout counts."""
@@ -397,7 +397,7 @@
         sent = [
             self._order(name, order, epoch) for name, order in orders.items()
         ]
-        rows = await told_ranks.gather(sent)
+        rows = await rank_reports.gather(sent)
         outcomes = {name: outcome for name, outcome, _ in rows}
         told = {name: item for name, _, item in rows if item is not None}
         self._holds.note_outcomes(orders, outcomes, epoch)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
@@ -19,7 +19,7 @@
 from twisted.internet import task
 
 from .. import logs
-from . import follower, told_ranks
+from . import follower, rank_reports
 
 LOG = logs.Part("groups")
 # Seconds between two rounds while a group is not known, and while all are.
@@ -137,7 +137,7 @@
         rows = list(ranks.items())
         for first in range(0, len(rows), ASKED_AT_ONCE):
             some = rows[first : first + ASKED_AT_ONCE]
-            await told_ranks.gather([self._ask(*row) for row in some])
+            await rank_reports.gather([self._ask(*row) for row in some])
 
     async def _ask(self, number: int, rank: announcement.Announcement) -> None:
         host = rank.address.rpartition(":")[0]
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/lease_keeper.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/lease_keeper.py
@@ -18,7 +18,7 @@
 
 from .. import logs
 from ..adapters import base
-from . import follower, group, members, own_rank
+from . import follower, group, local_rank, members
 
 LOG = logs.Part("lease")
 # Agents of a group that ask for its lease: enough that one is left when a
@@ -30,7 +30,7 @@
 WATCH_S = 0.15
 # The same for an agent that does not ask for the lease; its rank's number
 # changes only when the group forms anew.
-RELUCTANT_S = 2.0
+NON_CANDIDATE_POLL_S = 2.0
 # A rank that stands still in a change for so long, in seconds, waits for a
 # holder that has gone: a step takes 0.1 s, a whole change some 0.05 s more.
 STUCK_S = 0.5
@@ -48,7 +48,7 @@
         reactor: Any,
         clock: clock.Clock,
         lease_on: Callable[[str], base.Lease],
-        own: own_rank.OwnRank,
+        local_rank: local_rank.LocalRank,
         group: group.Group,
         members: members.Members,
     ) -> None:
@@ -57,7 +57,7 @@
         self._lease_on = lease_on
         self._lease: base.Lease | None = None
         self._lease_group: str | None = None
-        self._own = own
+        self._local_rank = local_rank
         self._group = group
         self._members = members
         self._held = False
@@ -104,7 +104,7 @@
 
         def pause(*, often: bool) -> float:
             # Those that are no candidates only see whether they become one.
-            return pause_s if often else RELUCTANT_S
+            return pause_s if often else NON_CANDIDATE_POLL_S
 
         async def once() -> float:
             nonlocal failing
@@ -151,7 +151,7 @@
         if not held:
             self._group.release()
         elif not self._group.holds:
-            self._group.take(await lease.draw_fence())
+            self._group.acquire(await lease.draw_fence())
 
     async def _own_lease(self) -> base.Lease:
         """Return the lease on the own group; one on another is left."""
@@ -166,8 +166,10 @@
 
     async def _watch(self) -> None:
         """Look at the own rank; finish a change that stands still."""
-        found = (await self._own.tell(counts=False, experts=False)).rank
-        self._members.note_own(found)
+        found = (
+            await self._local_rank.report(counts=False, experts=False)
+        ).rank
+        self._members.record_local_rank(found)
         each = max(1, found.size // CANDIDATES)
         candidate = found.number % each == 0
         self._place = found.number // each if candidate else None
@@ -195,7 +197,7 @@
             step=found.step,
             prepared=found.prepared,
         )
-        self._group.take(fence, finish_only=True)
+        self._group.acquire(fence, finish_only=True)
 
 
 def _stands_still(before: rank.Rank, now: rank.Rank) -> bool:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/own_rank.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/local_rank.py
@@ -16,14 +16,16 @@
 LOG = logs.Part("rank")
 
 
-class OwnRank:
+class LocalRank:
     """Answers other agents for the rank beside this one."""
 
     def __init__(self, *, port: base.RankPort) -> None:
         self._port = port
         self._lost = False
 
-    async def tell(self, *, counts: bool, experts: bool) -> rank_wire.Told:
+    async def report(
+        self, *, counts: bool, experts: bool
+    ) -> rank_wire.RankReport:
         """Return what the rank reports; CodedError "rank-lost"."""
         report = await self._port.report()
         counted = await self._port.counted() if counts else None
@@ -36,19 +38,19 @@
                 status=503,
                 detail="it started again between two answers",
             )
-        return rank_wire.Told(report, counted, held)
+        return rank_wire.RankReport(report, counted, held)
 
     async def answer(self, query: ttypes.RankQuery) -> ttypes.RankTold:
         """Answer another agent; with nothing if the rank does not answer."""
         try:
-            told = await self.tell(
+            told = await self.report(
                 counts=bool(query.counts), experts=bool(query.experts)
             )
         except error.CodedError as lost:
             self._note_lost(lost)
             return ttypes.RankTold()
         self._note_heard()
-        return rank_wire.to_told(told)
+        return rank_wire.report_to_thrift(told)
 
     def _note_lost(self, lost: error.CodedError) -> None:
         if not self._lost:
@@ -82,8 +84,8 @@
     async def _told_now(self) -> ttypes.RankTold | None:
         """Return the rank's state; None if it does not answer."""
         try:
-            told = await self.tell(counts=False, experts=False)
+            told = await self.report(counts=False, experts=False)
         except error.CodedError as lost:
             self._note_lost(lost)
             return None
-        return rank_wire.to_told(told)
+        return rank_wire.report_to_thrift(told)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
@@ -101,7 +101,7 @@
         """Follow the list no longer."""
         self._stopped = True
 
-    def note_own(self, found: rank.Rank) -> None:
+    def record_local_rank(self, found: rank.Rank) -> None:
         """Take from the own rank which group it is in."""
         self.group, self.group_size = found.group, found.size
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/told_ranks.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/rank_reports.py
@@ -52,7 +52,7 @@
     born_ms: int | None = None
 
 
-class Better(NamedTuple):
+class BetterLayout(NamedTuple):
     """A layout that is worth changing to.
 
     Attributes:
@@ -69,7 +69,7 @@
     loaded: int
 
 
-class ToldRanks:
+class RankReports:
     """Asks all ranks, and keeps what they hold and what requests want."""
 
     def __init__(
@@ -106,7 +106,7 @@
         )
         return {name: item.rank for name, item in told.items()}
 
-    async def _ask_by_turns(self) -> dict[str, rank_wire.Told]:
+    async def _ask_by_turns(self) -> dict[str, rank_wire.RankReport]:
         """Ask those whose answers are wanted, a few at a time.
 
         Answers that come all at once wait for each other on a thin link, and
@@ -139,8 +139,8 @@
         return self._members.one_group or group == self._members.group
 
     def _of_group(
-        self, told: dict[str, rank_wire.Told]
-    ) -> dict[str, rank_wire.Told]:
+        self, told: dict[str, rank_wire.RankReport]
+    ) -> dict[str, rank_wire.RankReport]:
         """Note the group of each rank; return those of the own one."""
         for name, item in told.items():
             self._group_by_name[name] = item.rank.group
@@ -151,20 +151,20 @@
 
     async def _ask(
         self, name: str, member: reach.Member
-    ) -> tuple[str, rank_wire.Told | None]:
+    ) -> tuple[str, rank_wire.RankReport | None]:
         held = self._held_by_name.get(name)
         if not self._is_own(name):
             # Which group it is in says enough, in few bytes.
-            return name, await self._reach.tell(
+            return name, await self._reach.report(
                 member, experts=False, counts=False
             )
-        told = await self._reach.tell(member, experts=held is None)
+        told = await self._reach.report(member, experts=held is None)
         if told and held and not self._is_held(name, told.rank):
             # What it holds is asked for the next time.
             del self._held_by_name[name]
         return name, told
 
-    def note_in_use(
+    def record_in_use(
         self, by_name: Mapping[str, rank.Rank], wanted: relayout.Wanted
     ) -> None:
         """Note what ranks hold once all of them use a layout."""
@@ -176,7 +176,7 @@
         self,
         by_name: Mapping[str, rank.Rank],
         limits: base.EngineLimits | None,
-    ) -> Better | None:
+    ) -> BetterLayout | None:
         """Return a layout that is worth changing to, if there is one.
 
         Args:
@@ -199,7 +199,7 @@
         after = sum(item.after for item in solved)
         if not solved or after > before * (1 - LEAST_IMPROVEMENT):
             return None
-        return Better(
+        return BetterLayout(
             table=tuple(item.held for item in solved),
             skew_before=before / len(solved),
             skew_after=after / len(solved),
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
@@ -70,9 +70,9 @@
         self._silent: set[str] = set()
         self._tried_at: dict[str, float] = {}
 
-    async def tell(
+    async def report(
         self, member: Member, *, experts: bool, counts: bool = True
-    ) -> rank_wire.Told | None:
+    ) -> rank_wire.RankReport | None:
         """Return what a rank reports, with its counters; None if nothing.
 
         Args:
@@ -84,7 +84,7 @@
         if not self._is_silent(member):
             try:
                 answer = await self._call(member, "rank", query)
-                return rank_wire.from_told(answer)
+                return rank_wire.report_from_thrift(answer)
             except ValueError:
                 # The agent cannot ask its rank either, and has logged why.
                 return None
@@ -109,7 +109,9 @@
         message = rank_wire.to_order(order, fence=fence, epoch=epoch)
         try:
             answer = await self._call(member, "order_rank", message)
-            told = answer.rank and rank_wire.from_told(answer.rank).rank
+            told = (
+                answer.rank and rank_wire.report_from_thrift(answer.rank).rank
+            )
         except (link.LinkError, ValueError) as lost:
             LOG.warning(
                 "An order has no answer.",
@@ -141,7 +143,7 @@
         query = ttypes.RankQuery(counts=False, experts=False)
         try:
             answer = await self._call(member, "rank", query)
-            return rank_wire.from_told(answer).rank
+            return rank_wire.report_from_thrift(answer).rank
         except (link.LinkError, ValueError):
             # Whoever sent the order asks all ranks again.
             return None
@@ -183,7 +185,9 @@
         # It stays silent then, which has been logged.
         asked.addErrback(lambda failed: failed.trap(link.LinkError))
 
-    async def _tell_directly(self, member: Member) -> rank_wire.Told | None:
+    async def _tell_directly(
+        self, member: Member
+    ) -> rank_wire.RankReport | None:
         """Ask a rank itself, so that its answer is no older than the call."""
         port = self._port_to(member.upstream)
         try:
@@ -193,4 +197,4 @@
             found = await port.report()
         except error.CodedError:
             return None
-        return rank_wire.Told(found)
+        return rank_wire.RankReport(found)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
@@ -36,12 +36,12 @@
                 goal_s = self._goal_s.get(share.target, item.goal_s)
                 self._goal_s[share.target] = min(goal_s, item.goal_s)
 
-    def note_taken(self, target: str, seconds: float) -> None:
+    def record_duration(self, target: str, seconds: float) -> None:
         """Take how long an upstream took for a whole answer."""
         old = self._takes_s.get(target, seconds)
         self._takes_s[target] = old + SMOOTHING * (seconds - old)
 
-    def note_pause(
+    def record_pause(
         self,
         target: str,
         group: str,
@@ -80,7 +80,7 @@
         """Return the part of the slots in which streams keep their pace."""
         return self._pace(target, group).limit
 
-    def steps(self, target: str) -> bool:
+    def has_ranks(self, target: str) -> bool:
         """Tell whether the upstreams of a target are ranks of groups."""
         return self._fixed_s.get(target, 0.0) > 0
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
@@ -125,7 +125,7 @@
         return [
             view.upstream
             for view in self.views_by_name.values()
-            if not view.gone and self._targets.steps(view.upstream.target)
+            if not view.gone and self._targets.has_ranks(view.upstream.target)
         ]
 
     def _candidate(self, view: views.View, now: float) -> routing.Candidate:
@@ -236,7 +236,7 @@
             return
         group = self.group_of(asked.choice.name)
         rows = self.candidates(asked.target)
-        self._targets.note_pause(
+        self._targets.record_pause(
             asked.target,
             group,
             pause_s,
@@ -280,7 +280,7 @@
 
     def note_taken(self, target: str, seconds: float) -> None:
         """Take how long an upstream took for a whole answer."""
-        self._targets.note_taken(target, seconds)
+        self._targets.record_duration(target, seconds)
 
     def follow(self, state: states.State) -> None:
         """Take from the configuration how soon answers are wanted."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/front.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/front.py
@@ -188,7 +188,7 @@
         self._usage.on_gone = self._suspects.forget
         self._usage.news = (self._directory.rate_limits, self._suspects)
         self._usage.on_offset = self._base.config.hear
-        self._usage.on_roster_offset = self._directory.hear
+        self._usage.on_roster_offset = self._directory.on_peer_offset
 
     async def start(self) -> None:
         """Serve callers, peers and probes."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
@@ -23,11 +23,11 @@
     follower,
     group,
     lease_keeper,
+    local_rank,
     members,
-    own_rank,
+    rank_reports,
     reach,
     suspension,
-    told_ranks,
 )
 from .exchange import pool
 
@@ -64,7 +64,7 @@
         self._adapter = self._make_adapter()
         own = reach.Member(settings.peer, _address(settings.engine))
         port_to = self._adapter.port_to
-        self._own = own_rank.OwnRank(port=port_to(own.upstream))
+        self._local_rank = local_rank.LocalRank(port=port_to(own.upstream))
         self._members = members.Members(
             reactor=reactor,
             clock=self._clock,
@@ -85,7 +85,7 @@
             reactor=reactor,
             clock=self._clock,
             lease_on=self._adapter.lease_on,
-            own=self._own,
+            local_rank=self._local_rank,
             group=self._group,
             members=self._members,
         )
@@ -107,7 +107,7 @@
             reactor=self._reactor,
             clock=self._clock,
             reach=way,
-            ranks=told_ranks.ToldRanks(
+            ranks=rank_reports.RankReports(
                 clock=self._clock, reach=way, members=self._members
             ),
             engines=self._adapter.engines,
@@ -183,11 +183,11 @@
 
     def rank(self, query: ttypes.RankQuery) -> defer.Deferred:
         """Tell of the rank beside this agent."""
-        return defer.ensureDeferred(self._own.answer(query))
+        return defer.ensureDeferred(self._local_rank.answer(query))
 
     def order_rank(self, order: ttypes.RankOrder) -> defer.Deferred:
         """Pass an order on to the rank."""
-        return defer.ensureDeferred(self._own.order(order))
+        return defer.ensureDeferred(self._local_rank.order(order))
 
     def _not_ready(self) -> str:
         if self._listener.stopping:
--- a/packages/reelscale-daemon/src/reelscale_daemon/rank_wire.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/rank_wire.py
@@ -26,7 +26,7 @@
 }
 
 
-class Told(NamedTuple):
+class RankReport(NamedTuple):
     """What an agent tells of its rank.
 
     Attributes:
@@ -40,7 +40,7 @@
     experts: tuple[tuple[int, ...], ...] | None = None
 
 
-def to_told(told: Told) -> ttypes.RankTold:
+def report_to_thrift(told: RankReport) -> ttypes.RankTold:
     """Turn what an agent tells into a message."""
     armed = told.rank.armed
     fields = told.rank._asdict()
@@ -54,7 +54,7 @@
     )
 
 
-def from_told(message: ttypes.RankTold) -> Told:
+def report_from_thrift(message: ttypes.RankTold) -> RankReport:
     """Read what an agent tells; ValueError if a field is missing."""
     fields = {name: getattr(message, name) for name in REQUIRED}
     if None in fields.values():
@@ -78,7 +78,7 @@
     experts = None
     if message.experts is not None:
         experts = tuple(tuple(row) for row in message.experts)
-    return Told(found, counted, experts)
+    return RankReport(found, counted, experts)
 
 
 def to_order(order: rank.Order, *, fence: int, epoch: int) -> ttypes.RankOrder:
