--- a/features/models/restarts.py
+++ b/features/models/restarts.py
@@ -123,7 +123,7 @@
 
     def check(self) -> None:
         """See that the starts that live count in the end."""
-        self._pass(HEARTBEAT_S + starts.CONTEND_S + 2)
+        self._pass(HEARTBEAT_S + starts.CONTENTION_S + 2)
         self._check()
         for name in NAMES:
             view = self.directory.views_by_name[name]
@@ -154,7 +154,7 @@
     def _restart_back(self, choose) -> None:
         """Restart with a clock that stepped back; it counts a while later."""
         self._restart(choose, back_ms=choose.pick((1, 2000)))
-        self._pass(HEARTBEAT_S + starts.CONTEND_S + 1)
+        self._pass(HEARTBEAT_S + starts.CONTENTION_S + 1)
 
     def _write_late(self, choose) -> None:
         """Write a record that an earlier start sent before it ended."""
@@ -372,14 +372,16 @@
 
 
 def _late_records_win():
-    def take(self, item, now):
-        return starts.Verdict.COUNTS
+    def classify(self, item, now):
+        return starts.Verdict.CURRENT
 
-    return mock.patch.object(starts.Starts, "take", take)
+    return mock.patch.object(starts.Starts, "classify", classify)
 
 
 def _later_birth_always_wins():
-    return mock.patch.object(starts.Starts, "due", lambda self, now: [])
+    return mock.patch.object(
+        starts.Starts, "promote_due", lambda self, now: []
+    )
 
 
 RULES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
--- a/packages/reelscale-core/src/reelscale_core/announcement.py
+++ b/packages/reelscale-core/src/reelscale_core/announcement.py
@@ -28,7 +28,7 @@
             return self.name
         return f"{self.name}@{self.born_ms}"
 
-    def lived_at(self, unix_s: float) -> bool:
+    def was_running_at(self, unix_s: float) -> bool:
         """Tell whether it may have answered at a time.
 
         A start is heard of some time after its birth; until then its answers
--- a/packages/reelscale-core/src/reelscale_core/fold.py
+++ b/packages/reelscale-core/src/reelscale_core/fold.py
@@ -98,13 +98,13 @@
             return _confirm(state, offset, plan)
         case record.LeaseRecord():
             return _lease(state, offset, item)
-        case record.WholeRecord():
+        case record.FullConfigRecord():
             return _whole(state, item)
         case _:
             return state
 
 
-def _whole(state: State, item: record.WholeRecord) -> State:
+def _whole(state: State, item: record.FullConfigRecord) -> State:
     """Take a whole configuration, unless a newer one is in force."""
     if item.version <= state.version:
         return state
--- a/packages/reelscale-core/src/reelscale_core/record.py
+++ b/packages/reelscale-core/src/reelscale_core/record.py
@@ -79,7 +79,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class WholeRecord:
+class FullConfigRecord:
     """A whole configuration, accepted already, in place of the one before.
 
     Written where operators state all they want at once instead of intents.
@@ -100,7 +100,11 @@
 
 
 Record = (
-    PlanRecord | ConfirmRecord | LeaseRecord | SnapshotRecord | WholeRecord
+    PlanRecord
+    | ConfirmRecord
+    | LeaseRecord
+    | SnapshotRecord
+    | FullConfigRecord
 )
 
 
@@ -123,7 +127,7 @@
             return {"kind": "lease", **dataclasses.asdict(record)}
         case SnapshotRecord():
             return {"kind": "snapshot", **dataclasses.asdict(record)}
-        case WholeRecord():
+        case FullConfigRecord():
             return {"kind": "whole", **dataclasses.asdict(record)}
 
 
@@ -157,7 +161,7 @@
         case "snapshot":
             return SnapshotRecord(**rest)
         case "whole":
-            return WholeRecord(**rest)
+            return FullConfigRecord(**rest)
     return None
 
 
--- a/packages/reelscale-core/src/reelscale_core/starts.py
+++ b/packages/reelscale-core/src/reelscale_core/starts.py
@@ -19,10 +19,10 @@
 
 # A start that lives and is contradicted writes again within a heartbeat, 1.2
 # s; three of them without a word end a start, here as for the platform.
-CONTEND_S = 4.0
+CONTENTION_S = 4.0
 # So many upstreams are remembered, far above those of one platform, however
 # many ids another writer makes up.
-MOST_KEPT = 4096
+MAX_UPSTREAMS = 4096
 
 
 class _Contender(NamedTuple):
@@ -40,11 +40,11 @@
 class Verdict(enum.Enum):
     """What a record by an upstream is worth."""
 
-    COUNTS = enum.auto()
+    CURRENT = enum.auto()
     # An earlier start seems to have written it.
-    EARLIER = enum.auto()
+    SUPERSEDED = enum.auto()
     # It does not tell its start, though upstreams here do.
-    UNTOLD = enum.auto()
+    UNDATED = enum.auto()
 
 
 class Starts:
@@ -54,16 +54,16 @@
         self._born_by_name: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._told = False
+        self._any_dated = False
         self._contenders_by_name: dict[str, _Contender] = {}
 
-    def hear(self, items: Iterable[Item]) -> None:
+    def record_listed(self, items: Iterable[Item]) -> None:
         """Note, before any of them is taken, whether upstreams tell starts."""
         entries = [i for i in items if isinstance(i, Announcement)]
         told = any(item.born_ms is not None for item in entries)
-        self._told = self._told or told
+        self._any_dated = self._any_dated or told
 
-    def take(self, item: Announcement, now: float) -> Verdict:
+    def classify(self, item: Announcement, now: float) -> Verdict:
         """Take a record; tell what it is worth.
 
         Args:
@@ -72,33 +72,33 @@
         """
         born_ms = item.born_ms
         if born_ms is None:
-            return Verdict.UNTOLD if self._told else Verdict.COUNTS
+            return Verdict.UNDATED if self._any_dated else Verdict.CURRENT
         known = self._born_by_name.get(item.name)
         if known is not None and born_ms < known:
             self._contend(item, now)
-            return Verdict.EARLIER
+            return Verdict.SUPERSEDED
         self._count(item.name, born_ms)
-        return Verdict.COUNTS
+        return Verdict.CURRENT
 
-    def due(self, now: float) -> list[Announcement]:
+    def promote_due(self, now: float) -> list[Announcement]:
         """Return the records by starts that count from now on after all."""
         won = [
             row.item
             for row in self._contenders_by_name.values()
-            if now - row.since >= CONTEND_S
+            if now - row.since >= CONTENTION_S
         ]
         for item in won:
             self._count(item.name, item.born_ms)
         return won
 
-    def withdraw(self, name: str) -> None:
+    def forget(self, name: str) -> None:
         """Note that an upstream has no record any more."""
         self._contenders_by_name.pop(name, None)
 
-    def keep(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Note that only these upstreams have records."""
         for name in set(self._contenders_by_name) - names:
-            self.withdraw(name)
+            self.forget(name)
 
     def _contend(self, item: Announcement, now: float) -> None:
         old = self._contenders_by_name.get(item.name)
@@ -111,10 +111,10 @@
         self._contenders_by_name.pop(name, None)
         self._born_by_name[name] = born_ms
         self._born_by_name.move_to_end(name)
-        while len(self._born_by_name) > MOST_KEPT:
+        while len(self._born_by_name) > MAX_UPSTREAMS:
             self._born_by_name.popitem(last=False)
 
 
-def is_other(one: int | None, another: int | None) -> bool:
+def are_distinct(one: int | None, another: int | None) -> bool:
     """Tell whether two times of birth are known to be of two starts."""
     return None not in (one, another) and one != another
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
@@ -67,7 +67,7 @@
     ) -> None:
         """Forget a start in whose place another is, but for what is its."""
         found = self._backoffs_by_start.pop(before.key, None)
-        if found is not None and start.lived_at(found.heard_at):
+        if found is not None and start.was_running_at(found.heard_at):
             self._backoffs_by_start[start.key] = found
 
     def blocks(self, start: announcement.Start) -> bool:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
@@ -56,7 +56,7 @@
     ) -> None:
         """Forget a start in whose place another is, but for what is its."""
         heard_at = self._heard_at_by_start.pop(before.key, None)
-        if heard_at is not None and start.lived_at(heard_at):
+        if heard_at is not None and start.was_running_at(heard_at):
             self._keep(start, heard_at)
 
     def _keep(self, start: announcement.Start, heard_at: float) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
@@ -193,12 +193,12 @@
     def _take_page(self, page: base.RosterPage) -> None:
         """Take a part of the list, or all of it."""
         self._next = page.next_offset
-        self._starts.hear(page.items)
+        self._starts.record_listed(page.items)
         if page.whole:
             self._take_whole(page)
         for item in page.items:
             self._take_safely(item)
-        for item in self._starts.due(self._clock.monotonic()):
+        for item in self._starts.promote_due(self._clock.monotonic()):
             self._announced(item)
         if self._has_news:
             self._news_offset, self._has_news = self._next, False
@@ -208,7 +208,7 @@
     def _take_whole(self, page: base.RosterPage) -> None:
         """Withdraw what a whole list no longer names."""
         listed = {item.name for item in page.items}
-        self._starts.keep(listed)
+        self._starts.retain(listed)
         for name in set(self.views_by_name) - listed:
             self._take(announcement.Withdrawn(name))
 
@@ -229,22 +229,22 @@
                 self._judge(item)
             case announcement.Withdrawn(name=name):
                 self._unusable.forget(name)
-                self._starts.withdraw(name)
+                self._starts.forget(name)
                 self._withdrawn(name)
             case announcement.Unusable():
                 self._distrust(item)
 
     def _judge(self, item: announcement.Announcement) -> None:
         """Take an announcement for what it is worth."""
-        match self._starts.take(item, self._clock.monotonic()):
-            case starts.Verdict.COUNTS:
+        match self._starts.classify(item, self._clock.monotonic()):
+            case starts.Verdict.CURRENT:
                 self._unusable.forget(item.name)
                 self._announced(item)
-            case starts.Verdict.UNTOLD:
+            case starts.Verdict.UNDATED:
                 detail = "it does not tell its start, though others do"
                 bad = announcement.Unusable(item.name, "start", detail)
                 self._distrust(bad)
-            case starts.Verdict.EARLIER:
+            case starts.Verdict.SUPERSEDED:
                 LOG.warning(
                     "An upstream's earlier start seems to have announced "
                     "itself.",
@@ -254,7 +254,7 @@
 
     def _distrust(self, item: announcement.Unusable) -> None:
         """Use an upstream no more until it is announced well again."""
-        self._starts.withdraw(item.name)
+        self._starts.forget(item.name)
         self._unusable.note(item)
         view = self.views_by_name.get(item.name)
         if view is not None and not view.gone:
@@ -267,7 +267,7 @@
         if view is None:
             view = self._new_view(item)
             LOG.info("An upstream is listed.", **item._asdict())
-        elif starts.is_other(view.upstream.born_ms, item.born_ms):
+        elif starts.are_distinct(view.upstream.born_ms, item.born_ms):
             self._connections.close_idle(view.upstream.address)
             self.backoffs.start_again(view.upstream.start, item.start)
             self.departures.start_again(view.upstream.start, item.start)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
@@ -430,7 +430,7 @@
 ) -> bool:
     """Tell whether a rank tells of another start than it did before."""
     return any(
-        starts.is_other(before[name].born_ms, item.born_ms)
+        starts.are_distinct(before[name].born_ms, item.born_ms)
         for name, item in now.items()
     )
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/local_rank.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/local_rank.py
@@ -30,7 +30,7 @@
         report = await self._port.report()
         counted = await self._port.counted() if counts else None
         held = await self._port.experts() if experts else None
-        if counted and starts.is_other(counted.born_ms, report.born_ms):
+        if counted and starts.are_distinct(counted.born_ms, report.born_ms):
             raise error.CodedError(
                 "rank-lost",
                 step="rank",
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
@@ -114,13 +114,13 @@
         wait_s = POLL_S if self._next else 0.0
         page = await self._roster.read(self._next, wait_s=wait_s)
         self._next = page.next_offset
-        self._starts.hear(page.items)
+        self._starts.record_listed(page.items)
         if page.whole:
             self._listed = {}
-            self._starts.keep({item.name for item in page.items})
+            self._starts.retain({item.name for item in page.items})
         for item in page.items:
             self._take(item)
-        self._list(self._starts.due(self._clock.monotonic()))
+        self._list(self._starts.promote_due(self._clock.monotonic()))
         found = [self._member(i.address) for i in self._listed.values()]
         self.slots = sum(item.slots for item in self._listed.values())
         self.by_name = {item.agent: item for item in [*found, self._own]}
@@ -128,13 +128,13 @@
     def _take(self, item: announcement.Item) -> None:
         match item:
             case announcement.Announcement():
-                worth = self._starts.take(item, self._clock.monotonic())
-                if worth is starts.Verdict.COUNTS:
+                worth = self._starts.classify(item, self._clock.monotonic())
+                if worth is starts.Verdict.CURRENT:
                     self._list([item])
             case (
                 announcement.Withdrawn(name=n) | announcement.Unusable(name=n)
             ):
-                self._starts.withdraw(n)
+                self._starts.forget(n)
                 self._listed.pop(n, None)
 
     def _list(self, items: Iterable[announcement.Announcement]) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
@@ -191,7 +191,7 @@
     def started_again(self, start: announcement.Start) -> bool:
         """Tell whether another start has taken the place of one."""
         view = self.views_by_name.get(start.name)
-        return view is not None and starts.is_other(
+        return view is not None and starts.are_distinct(
             view.upstream.born_ms, start.born_ms
         )
 
