--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/base.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/base.py
@@ -25,7 +25,7 @@
 from ..exchange import connection, pool
 from ..filters import call
 
-LOG = logs.Part("answers")
+LOG = logs.Logger("answers")
 
 
 class Rows(NamedTuple):
--- a/packages/reelscale-daemon/src/reelscale_daemon/agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/agent.py
@@ -23,7 +23,7 @@
 from .adapters import upstream as upstreams
 from .controllers import follower, keys, layout, orders, streams
 
-LOG = logs.Part("agent")
+LOG = logs.Logger("agent")
 LOAD_EVERY_S = 0.25
 BOXES_EVERY_S = 1.0
 SWEEP_EVERY_S = 1.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/callers.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/callers.py
@@ -16,7 +16,7 @@
 from .adapters import base
 from .filters import call, chain, expiry, parts, writer
 
-LOG = logs.Part("callers")
+LOG = logs.Logger("callers")
 LONGEST_DEADLINE_S = 600.0
 
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
@@ -15,7 +15,7 @@
 from .. import logs, metrics
 from . import wakeup
 
-LOG = logs.Part("backoffs")
+LOG = logs.Logger("backoffs")
 # So many starts of upstreams are remembered; those that end last.
 MOST_KEPT = 4096
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
@@ -23,7 +23,7 @@
 from ..adapters import base
 from . import follower
 
-LOG = logs.Part("config")
+LOG = logs.Logger("config")
 RETRY_S = 0.25
 # Seconds for which a read waits at the log for something new.  An answer
 # that is lost makes a process deaf for this long and the client's margin of
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
@@ -14,7 +14,7 @@
 
 from .. import logs
 
-LOG = logs.Part("departures")
+LOG = logs.Logger("departures")
 # So many starts are remembered, the newest; those that have ended are asked
 # nothing any more.
 MOST_KEPT = 4096
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
@@ -29,7 +29,7 @@
 from . import follower, peer_lists, unusable, upstreams, usage
 from . import view as views
 
-LOG = logs.Part("directory")
+LOG = logs.Logger("directory")
 # Between two reads, in seconds: many upstreams start or leave together, and
 # each read costs a call.  Where heartbeats are records, too, every read finds
 # something, so only the first entries by name read as often as that.
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/follower.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/follower.py
@@ -18,7 +18,7 @@
 
 from .. import logs
 
-LOG = logs.Part("loop")
+LOG = logs.Logger("loop")
 # The pause after an unforeseen error, in seconds; it doubles with each in a
 # row up to the most, so that one that has gone is over soon.
 FAULT_PAUSE_S = 0.25
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
@@ -18,7 +18,7 @@
 from ..adapters import base
 from . import arming, follower, holds, members, rank_reports, reach
 
-LOG = logs.Part("group")
+LOG = logs.Logger("group")
 # Seconds between two looks at all ranks; what requests want shifts within
 # seconds, and a look costs each agent some 3 ms of processor time.
 TICK_S = 0.12
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
@@ -21,7 +21,7 @@
 from .. import logs
 from . import follower, rank_reports
 
-LOG = logs.Part("groups")
+LOG = logs.Logger("groups")
 # Seconds between two rounds while a group is not known, and while all are.
 UNKNOWN_EVERY_S = 1.0
 KNOWN_EVERY_S = 8.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/intents.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/intents.py
@@ -14,7 +14,7 @@
 from ..adapters import platform
 from . import config, membership
 
-LOG = logs.Part("intents")
+LOG = logs.Logger("intents")
 # An operator's answer waits this long for the log to be read back.
 SETTLE_S = 5.0
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/keys.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/keys.py
@@ -15,7 +15,7 @@
 from ..adapters import upstream as upstreams
 from . import config, follower, streams
 
-LOG = logs.Part("keys")
+LOG = logs.Logger("keys")
 ASK_TIMEOUT_S = 1.0
 CLEAR_EVERY_S = 1.0
 # Answers up to this size are kept, and given again for a repeated key.
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
@@ -31,7 +31,7 @@
 from ..adapters import platform
 from . import config, follower, orders
 
-LOG = logs.Part("layout")
+LOG = logs.Logger("layout")
 TICK_S = 0.2
 # The n-th agent in a group's order claims this many seconds after noticing.
 CLAIM_STEP_S = 1.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/lease_keeper.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/lease_keeper.py
@@ -20,7 +20,7 @@
 from ..adapters import base
 from . import follower, group, local_rank, members
 
-LOG = logs.Part("lease")
+LOG = logs.Logger("lease")
 # Agents of a group that ask for its lease: enough that one is left when a
 # hall and some boxes are gone, few enough that they cost the log little.
 CANDIDATES = 4
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/local_rank.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/local_rank.py
@@ -13,7 +13,7 @@
 from .. import logs, rank_wire
 from ..adapters import base
 
-LOG = logs.Part("rank")
+LOG = logs.Logger("rank")
 
 
 class LocalRank:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
@@ -12,7 +12,7 @@
 from ..adapters import base
 from . import follower, reach
 
-LOG = logs.Part("members")
+LOG = logs.Logger("members")
 # How long a read waits at the list, in seconds; a rank that is missing shows
 # by its silence, so a change of the list may be heard late.
 POLL_S = 10.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
@@ -18,7 +18,7 @@
 from ..adapters import platform
 from . import config, follower, granted_view
 
-LOG = logs.Part("membership")
+LOG = logs.Logger("membership")
 # Other entries that an entry exchanges offsets with.
 PEER_ENTRIES = 8
 PEERS_EVERY_S = 5.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/orders.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/orders.py
@@ -18,7 +18,7 @@
 from ..adapters import engine as engines
 from . import config
 
-LOG = logs.Part("orders")
+LOG = logs.Logger("orders")
 
 
 class Orders:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
@@ -10,7 +10,7 @@
 from .. import logs
 from ..filters import call
 
-LOG = logs.Part("entry")
+LOG = logs.Logger("entry")
 
 
 class Outages:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/peer_lists.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/peer_lists.py
@@ -17,7 +17,7 @@
 
 from .. import logs
 
-LOG = logs.Part("directory")
+LOG = logs.Logger("directory")
 # A peer that lives answers within some ms; a dead one costs this, in seconds.
 TIMEOUT_S = 1.0
 # Peers asked one after the other, so that an outage is no storm.
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/rate_limits.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/rate_limits.py
@@ -19,7 +19,7 @@
 from ..adapters import base
 from . import wakeup
 
-LOG = logs.Part("limits")
+LOG = logs.Logger("limits")
 # Limits in one datagram, the newest; each takes some 20 bytes of 1,400.
 MOST_TOLD = 24
 # So many starts of upstreams are remembered, the newest.
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
@@ -19,7 +19,7 @@
 from .. import logs, rank_wire
 from ..adapters import base
 
-LOG = logs.Part("reach")
+LOG = logs.Logger("reach")
 # An agent that has not answered after this long, in seconds, connecting
 # included, is silent; the way there and back takes 3 ms, and the rank is
 # given 0.06 s.
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/streams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/streams.py
@@ -17,7 +17,7 @@
 from .. import logs, metrics
 from ..adapters import upstream as upstreams
 
-LOG = logs.Part("streams")
+LOG = logs.Logger("streams")
 # A pull waits this long for something to give.
 PULL_WAIT_S = 10.0
 # An attempt that nobody pulls for this long, in seconds, has lost its entry;
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
@@ -26,7 +26,7 @@
 from ..filters import call
 from . import crash_evidence
 
-LOG = logs.Part("suspects")
+LOG = logs.Logger("suspects")
 # After a loss it is looked this much later, in seconds, whether the upstream
 # has crashed: all its connections break within some milliseconds, and it is
 # down for seconds.
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspension.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspension.py
@@ -11,7 +11,7 @@
 from .. import logs, metrics
 from . import follower
 
-LOG = logs.Part("suspension")
+LOG = logs.Logger("suspension")
 # The clocks are read this often, in seconds.  A loop that waits for a timer
 # is not woken by the end of a suspension, and this is how late it may be.
 LOOK_EVERY_S = 0.25
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/unusable.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/unusable.py
@@ -7,7 +7,7 @@
 
 from .. import logs, metrics
 
-LOG = logs.Part("directory")
+LOG = logs.Logger("directory")
 # Of so many announcements at most it is remembered what is wrong; another
 # writer may make up any number of them.
 MOST_NOTED = 1000
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/usage.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/usage.py
@@ -23,7 +23,7 @@
 from .. import logs
 from . import follower
 
-LOG = logs.Part("usage")
+LOG = logs.Logger("usage")
 # A change is told this soon, in seconds; changes in between go together.
 # Twice the delay between halls and a tenth of the time that a request for a
 # model may wait at an entry.
--- a/packages/reelscale-daemon/src/reelscale_daemon/entry.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/entry.py
@@ -17,7 +17,7 @@
 from .controllers import follower, intents, membership
 from .filters import admit, attempt, classify, identify, limit, parts, relay
 
-LOG = logs.Part("entry")
+LOG = logs.Logger("entry")
 CHAIN = (
     identify.identify,
     classify.classify,
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
@@ -15,7 +15,7 @@
 from .. import logs
 from . import call, parts, writer
 
-LOG = logs.Part("attempt")
+LOG = logs.Logger("attempt")
 SUBMIT_TIMEOUT_S = 5.0
 CANCEL_TIMEOUT_S = 1.0
 PULL_TIMEOUT_S = 15.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
@@ -12,7 +12,7 @@
 from ..exchange import connection
 from . import attempt, call, direct_answer, parts, suspect, writer
 
-LOG = logs.Part("attempt")
+LOG = logs.Logger("attempt")
 # A request that must not run twice is not sent on a connection that was
 # idle for longer, in seconds: an upstream may be closing it just now.
 ONCE_IDLE_S = 1.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/front.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/front.py
@@ -39,7 +39,7 @@
     suspect,
 )
 
-LOG = logs.Part("entry")
+LOG = logs.Logger("entry")
 CHAIN = (
     routed.find_route,
     suspect.check_suspect,
--- a/packages/reelscale-daemon/src/reelscale_daemon/logs.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/logs.py
@@ -30,8 +30,8 @@
 STDOUT = 1
 
 
-class Part:
-    """The log of one part of the daemon."""
+class Logger:
+    """Logger of one module, which is named by a prefix."""
 
     def __init__(self, prefix: str) -> None:
         self._prefix = prefix
--- a/packages/reelscale-daemon/src/reelscale_daemon/main.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/main.py
@@ -96,7 +96,7 @@
 
     def fail(reason: object) -> None:
         failed.append(reason)
-        logs.Part("process").error("Cannot start.", reason=reason)
+        logs.Logger("process").error("Cannot start.", reason=reason)
         reactor.stop()
 
     def start() -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/operators.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/operators.py
@@ -15,7 +15,7 @@
 from .controllers import config, intents, membership
 from .filters import identify, parts
 
-LOG = logs.Part("operators")
+LOG = logs.Logger("operators")
 KINDS = ("workspaces", "services", "groups", "upstreams", "entries")
 
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/process.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/process.py
@@ -18,7 +18,7 @@
 from . import logs, metrics, site
 from .controllers import config
 
-LOG = logs.Part("process")
+LOG = logs.Logger("process")
 # A process that stops looks this often, in seconds, whether its requests
 # have ended; what it waits in vain is little beside a grace time of seconds.
 STOP_POLL_S = 0.05
--- a/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
@@ -31,7 +31,7 @@
 )
 from .exchange import pool
 
-LOG = logs.Part("agent")
+LOG = logs.Logger("agent")
 # What the first two steps of a stop may take at most, as parts of what is
 # left of the grace time then: of the 5.6 s that are left of a grace time of
 # 6 s, 2.8 s to let go of the group (group.FINISH_S and a last look), then
--- a/packages/reelscale-daemon/src/reelscale_daemon/site.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/site.py
@@ -22,7 +22,7 @@
 
 from . import logs
 
-LOG = logs.Part("site")
+LOG = logs.Logger("site")
 # Of the descriptors of a process, callers' connections may take this part;
 # each request in progress takes another one towards its upstream, and peers,
 # the log and probes need some.
