--- a/features/models/shedding.py
+++ b/features/models/shedding.py
@@ -160,9 +160,9 @@
             id=number,
             arrived_at=now,
             deadline=now + wait_s,
-            end_by=now + found.timeout_s,
+            answer_deadline=now + found.timeout_s,
             route=found,
-            most_attempts=found.attempts,
+            max_attempts=found.attempts,
             workspace=routed.PUBLIC,
             target=TARGET,
             is_model=found.kind == route.STREAM,
@@ -170,7 +170,7 @@
             method="GET",
             path="/x",
             headers=[("Request-Id", number)],
-            wish=routing.Requirements(hall="a"),
+            requirements=routing.Requirements(hall="a"),
         )
         self.calls.append(asked)
         done = defer.ensureDeferred(self._serve(asked))
--- a/features/steps/gone_agent_steps.py
+++ b/features/steps/gone_agent_steps.py
@@ -132,7 +132,7 @@
 
 @when("its caller leaves and a grant comes")
 def _(context):
-    context.asked.left = True
+    context.asked.disconnected = True
     context.given.granted = True
     context.given.waking.callback(None)
 
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -32,7 +32,7 @@
 
 
 def _request(clocks):
-    asked = types.SimpleNamespace(end_by=clocks.monotonic() + 1.0)
+    asked = types.SimpleNamespace(answer_deadline=clocks.monotonic() + 1.0)
     given = types.SimpleNamespace(clock=clocks)
     return lambda: parts.Parts.left_s(given, asked) > 0
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/callers.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/callers.py
@@ -55,7 +55,7 @@
         except error.CodedError as refused:
             asked.outcome, asked.code = refused.outcome, refused.code
             asked.retry_after_s = refused.retry_after_s
-            if not asked.left:
+            if not asked.disconnected:
                 self._surface.refuse(asked.http, refused, request_id=asked.id)
         except writer.BrokenError as broken:
             asked.code = broken.code
@@ -90,7 +90,7 @@
             request=asked.id,
             reason=reason.getTraceback(),
         )
-        if not asked.left and not asked.http.startedWriting:
+        if not asked.disconnected and not asked.http.startedWriting:
             fault = error.CodedError(
                 "internal",
                 step="serve",
@@ -98,7 +98,7 @@
                 outcome=error.OUTCOME_UNKNOWN,
             )
             self._surface.refuse(asked.http, fault, request_id=asked.id)
-        elif not asked.left:
+        elif not asked.disconnected:
             asked.http.channel.break_off(asked.http)
 
 
@@ -167,7 +167,7 @@
         events=asked.events,
         first_s=_since(asked.first_byte_at, asked.arrived_at),
         seconds=round(now - asked.arrived_at, 4),
-        left_s=_since(asked.end_by, now),
+        left_s=_since(asked.answer_deadline, now),
         retry_after_s=asked.retry_after_s,
     )
 
@@ -181,11 +181,11 @@
 
 def _left(_: Any, asked: call.Call) -> None:
     """Note that a caller has gone before its answer was whole."""
-    asked.left = True
-    if asked.on_left is not None:
-        asked.on_left()
-    if asked.turn is not None and not asked.turn.called:
-        asked.turn.errback(writer.CallerLeftError())
+    asked.disconnected = True
+    if asked.on_disconnect is not None:
+        asked.on_disconnect()
+    if asked.dispatched is not None and not asked.dispatched.called:
+        asked.dispatched.errback(writer.CallerLeftError())
 
 
 def _break_off(asked: call.Call, broken: writer.BrokenError) -> None:
@@ -196,7 +196,7 @@
         code=broken.code,
         peer=broken.peer,
     )
-    if not asked.left:
+    if not asked.disconnected:
         asked.http.channel.break_off(asked.http)
 
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
@@ -29,10 +29,10 @@
     if not given.reachable(asked.target):
         # Grants of a target that was idle have lapsed: ask for new ones.
         await given.membership.wake(asked.target)
-    if asked.left:
+    if asked.disconnected:
         # Nobody ends a wait that has not begun: it would take a slot.
         raise writer.CallerLeftError
-    if asked.once_key:
+    if asked.idempotency_key:
         return
     queue = given.queue(asked.target)
     if not len(queue):
@@ -68,12 +68,12 @@
     if refusal is not None:
         _refuse(refusal, asked)
     asked.waiting = entry
-    asked.turn = defer.Deferred()
+    asked.dispatched = defer.Deferred()
     left_s = asked.deadline - given.clock.monotonic()
     late = given.reactor.callLater(max(0.0, left_s), _late, asked, queue)
     given.note_queue(asked.target)
     try:
-        await asked.turn
+        await asked.dispatched
     finally:
         if late.active():
             late.cancel()
@@ -120,17 +120,17 @@
     asked = refusal.waiting.item
     if asked is newcomer:
         raise problem
-    if asked.turn is not None and not asked.turn.called:
-        asked.turn.errback(problem)
+    if asked.dispatched is not None and not asked.dispatched.called:
+        asked.dispatched.errback(problem)
 
 
 def _late(asked: call.Call, queue: admission.Queue) -> None:
     """End the wait of a request whose time is up."""
-    if asked.turn is None or asked.turn.called:
+    if asked.dispatched is None or asked.dispatched.called:
         return
     name = asked.workspace.name
     after = queue.retry_after_s(asked.id, name, asked.priority)
-    asked.turn.errback(
+    asked.dispatched.errback(
         error.CodedError(
             "deadline",
             step="admit",
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
@@ -81,12 +81,12 @@
     asked.attempts.append(f"{name} ({reason})")
     given.metrics.attempts.inc({"upstream": name})
     to = given.links.to(address)
-    asked.on_left = lambda: defer.ensureDeferred(_stop(to, attempt))
+    asked.on_disconnect = lambda: defer.ensureDeferred(_stop(to, attempt))
     await _submit(asked, given, out, attempt, name, to)
     try:
         await _pull_all(asked, given, out, attempt, name, to)
     except writer.CallerLeftError:
-        asked.on_left()
+        asked.on_disconnect()
         raise
     except AttemptLostError as lost:
         if not lost.not_run:
@@ -96,7 +96,7 @@
 
 def _destination(asked: call.Call, given: parts.Parts) -> tuple[str, str, str]:
     """Return the name, the reason and the address of the upstream."""
-    if asked.once_key:
+    if asked.idempotency_key:
         members = states.members(given.config.state, asked.target)
         name = once.home(_scoped(asked), members) or ""
         reason = "key"
@@ -112,7 +112,7 @@
 
 def _scoped(asked: call.Call) -> str:
     """Return a key as agents know it, apart for each workspace."""
-    return f"{asked.workspace.name}/{asked.once_key}"
+    return f"{asked.workspace.name}/{asked.idempotency_key}"
 
 
 async def _submit(
@@ -223,7 +223,7 @@
         resume_from=out.events,
         deadline_ms=int(max(0.0, left_s) * 1000),
         priority=asked.priority,
-        once_key=_scoped(asked) if asked.once_key else "",
+        once_key=_scoped(asked) if asked.idempotency_key else "",
         offset=given.config.state.offset,
         entry=given.settings.name,
         stream=asked.is_model,
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/classify.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/classify.py
@@ -29,7 +29,7 @@
         body or header, 400.
     """
     path = asked.http.path
-    asked.once_key = _once_key(asked)
+    asked.idempotency_key = _once_key(asked)
     asked.priority = _priority(asked)
     if path in MODEL_PATHS:
         _classify_model(asked, given)
@@ -61,10 +61,10 @@
     data["stream"] = True
     asked.body = orjson.dumps(data)
     asked.headers = [("Content-Type", "application/json")]
-    asked.once = bool(asked.once_key)
-    asked.repeatable = not asked.once
+    asked.at_most_once = bool(asked.idempotency_key)
+    asked.idempotent = not asked.at_most_once
     session = asked.http.getHeader("x-session-id") or ""
-    asked.wish = routing.Requirements(
+    asked.requirements = routing.Requirements(
         hall=given.settings.hall,
         session=f"{asked.workspace.name}/{session}" if session else "",
         prefix=_prefix(asked, data),
@@ -83,9 +83,9 @@
     marked = service is not None and any(
         asked.path.startswith(prefix) for prefix in service.once_paths
     )
-    asked.once = marked or bool(asked.once_key)
-    asked.repeatable = not asked.once and asked.method in IDEMPOTENT
-    asked.wish = routing.Requirements(hall=given.settings.hall)
+    asked.at_most_once = marked or bool(asked.idempotency_key)
+    asked.idempotent = not asked.at_most_once and asked.method in IDEMPOTENT
+    asked.requirements = routing.Requirements(hall=given.settings.hall)
 
 
 def _json_body(asked: call.Call) -> dict[str, Any]:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
@@ -52,7 +52,7 @@
     )
     left_s = max(0.0, given.left_s(asked))
     timer = given.reactor.callLater(left_s, sent.give_up, TIMEOUT)
-    asked.on_left = conn.abort
+    asked.on_disconnect = conn.abort
     asked.on_expire = sent.give_up
     given.suspects.begin(asked, upstream.start)
     try:
@@ -115,12 +115,12 @@
       CallerLeftError: The caller has gone; its opening is given up at once.
     """
     opening = defer.ensureDeferred(_acquire(asked, given, upstream))
-    asked.on_left = opening.cancel
+    asked.on_disconnect = opening.cancel
     asked.on_expire = lambda _code: opening.cancel()
     try:
         conn = await opening
     except connection.ExchangeError as lost:
-        if asked.left:
+        if asked.disconnected:
             raise writer.CallerLeftError from lost
         # That an opening was given up says nothing of the upstream.
         if given.left_s(asked) > 0:
@@ -129,8 +129,8 @@
             lost.code, peer=upstream.name, not_run=True
         ) from lost
     finally:
-        asked.on_left = asked.on_expire = None
-    if asked.left:
+        asked.on_disconnect = asked.on_expire = None
+    if asked.disconnected:
         given.connections.release(conn)
         raise writer.CallerLeftError
     return conn
@@ -143,7 +143,7 @@
     left_s = max(0.0, given.left_s(asked))
     return await given.connections.acquire(
         upstream.address,
-        idle_most_s=None if asked.repeatable else ONCE_IDLE_S,
+        idle_most_s=None if asked.idempotent else ONCE_IDLE_S,
         connect_timeout_s=min(left_s, CONNECT_MOST_S),
     )
 
@@ -162,7 +162,7 @@
     sent: direct_answer.Sent, lost: connection.ExchangeError
 ) -> Exception:
     """Return the error that a broken exchange comes to."""
-    if sent.asked.left:
+    if sent.asked.disconnected:
         return writer.CallerLeftError()
     if sent.given_up:
         return _late(sent)
@@ -201,7 +201,7 @@
 
 def _end(sent: direct_answer.Sent, timer: Any) -> None:
     """Stop the clock of an attempt and keep its connection if it is good."""
-    sent.asked.on_left = sent.asked.on_expire = None
+    sent.asked.on_disconnect = sent.asked.on_expire = None
     if timer.active():
         timer.cancel()
     if sent.conn.usable:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
@@ -195,7 +195,7 @@
       AttemptLostError: The upstream failed, and asking again does no harm;
         its answer is kept for the case that no other can be asked.
     """
-    if answered.status >= FAILED and sent.asked.repeatable:
+    if answered.status >= FAILED and sent.asked.idempotent:
         lost = sent.lost(f"upstream-{answered.status}")
         lost.answer = attempt.KeptAnswer(
             answered.status, answered.headers, body
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/expiry.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/expiry.py
@@ -26,10 +26,10 @@
 def _expire(asked: call.Call, given: parts.Parts) -> None:
     """End one request; no other attempt follows, as its time is up."""
     now = given.clock.monotonic()
-    asked.end_by = min(asked.end_by, now)
+    asked.answer_deadline = min(asked.answer_deadline, now)
     asked.deadline = min(asked.deadline, now)
-    if asked.turn is not None and not asked.turn.called:
-        asked.turn.errback(_refusal(asked, given))
+    if asked.dispatched is not None and not asked.dispatched.called:
+        asked.dispatched.errback(_refusal(asked, given))
     elif asked.on_expire is not None:
         asked.on_expire(STOPPING)
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/parts.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/parts.py
@@ -208,7 +208,7 @@
 
     def left_s(self, asked: call.Call) -> float:
         """Return how long a request's answer may still take."""
-        return asked.end_by - self.clock.monotonic()
+        return asked.answer_deadline - self.clock.monotonic()
 
     @property
     def running(self) -> int:
@@ -238,7 +238,7 @@
         if self.suspects is not None:
             candidates = self.suspects.apart(asked, candidates)
         now = self.clock.monotonic()
-        return routing.choose(candidates, asked.wish, now)
+        return routing.choose(candidates, asked.requirements, now)
 
     def reachable(self, target: str) -> bool:
         """Tell whether any upstream of a target may get work at all."""
@@ -342,7 +342,7 @@
                 return
             queue.take(entry, self.clock.monotonic())
             self.reserve(asked)
-            asked.turn.callback(None)
+            asked.dispatched.callback(None)
 
     def _follow(self, state: states.State) -> None:
         self._workspace_by_digest = {
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/relay.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/relay.py
@@ -81,25 +81,25 @@
     ran: bool,
 ) -> None:
     """Prepare another attempt, or end the request with an error."""
-    if asked.left:
+    if asked.disconnected:
         raise writer.CallerLeftError
-    if asked.once_key:
+    if asked.idempotency_key:
         raise _failure(asked, given, out, lost, ran)
     if out.begun and not out.resumable:
         raise _failure(asked, given, out, lost, ran)
     now = given.clock.monotonic()
-    left_s = min(asked.deadline, asked.end_by) - now
+    left_s = min(asked.deadline, asked.answer_deadline) - now
     if asked.route is not None:
-        left_s = asked.end_by - now
+        left_s = asked.answer_deadline - now
     convicted = given.suspects and given.suspects.convicted_s(asked)
     if convicted or given.outages.out(asked):
         raise _failure(asked, given, out, lost, ran)
     worth = retry.worth(
         attempts=tries,
         not_run=lost.not_run,
-        repeatable=asked.repeatable,
+        repeatable=asked.idempotent,
         left_s=left_s if not out.begun else retry.LEAST_LEFT_S,
-        most=asked.most_attempts,
+        most=asked.max_attempts,
     )
     # A stream that goes on elsewhere brings only the load that its lost
     # upstream has shed, and sessions must not be dropped: it is no retry,
@@ -109,8 +109,8 @@
     if not worth or budget is None:
         raise _failure(asked, given, out, lost, ran)
     given.budget = budget
-    tried = (*asked.wish.tried, lost.peer)
-    asked.wish = asked.wish._replace(tried=tried)
+    tried = (*asked.requirements.tried, lost.peer)
+    asked.requirements = asked.requirements._replace(tried=tried)
     given.release(asked)
     asked.choice = given.choose(asked)
     if asked.choice is not None:
@@ -130,7 +130,7 @@
     if out.events:
         asked.priority = 0
         wait_until = given.clock.monotonic() + RESUME_WAIT_S
-        asked.deadline = min(wait_until, asked.end_by)
+        asked.deadline = min(wait_until, asked.answer_deadline)
     try:
         await admit.admit(asked, given)
     except error.CodedError as refused:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
@@ -76,11 +76,13 @@
     asked.priority = min(asked.priority, admission.CLASSES - 1)
     asked.stream = found.kind == route.STREAM
     asked.is_model = asked.stream
-    asked.repeatable = found.repeatable
-    asked.once = not found.repeatable
-    asked.most_attempts = found.attempts
-    asked.end_by = min(asked.end_by, asked.arrived_at + found.timeout_s)
+    asked.idempotent = found.repeatable
+    asked.at_most_once = not found.repeatable
+    asked.max_attempts = found.attempts
+    asked.answer_deadline = min(
+        asked.answer_deadline, asked.arrived_at + found.timeout_s
+    )
     goal_s = found.goal_s or math.inf
     start_by = asked.arrived_at + goal_s * WAIT_SHARE
-    asked.deadline = min(asked.deadline, asked.end_by, start_by)
-    asked.wish = routing.Requirements(hall=given.settings.hall)
+    asked.deadline = min(asked.deadline, asked.answer_deadline, start_by)
+    asked.requirements = routing.Requirements(hall=given.settings.hall)
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/writer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/writer.py
@@ -79,7 +79,7 @@
 
     def stopProducing(self) -> None:  # noqa: N802
         """Give up: the connection is gone."""
-        self._asked.left = True
+        self._asked.disconnected = True
         self.resumeProducing()
 
     async def drained(self) -> None:
@@ -90,7 +90,7 @@
         """
         if self._paused is not None:
             await self._paused
-        if self._asked.left:
+        if self._asked.disconnected:
             raise CallerLeftError
 
     def begin(self, status: int, headers: Sequence[Any]) -> None:
