--- a/features/holder_fakes.py
+++ b/features/holder_fakes.py
@@ -25,7 +25,7 @@
         self.on_hold = lambda: None
         self.carry_out = self.by_name.__setitem__
 
-    async def ask_all(self):
+    async def query_all(self):
         """Return the ranks that are heard."""
         if self.silent:
             self.silent -= 1
@@ -71,7 +71,7 @@
     """Give a scenario a clock, ranks and a holder that looks after them."""
     context.clock, context.ranks = task.Clock(), ranks or Ranks()
     members = types.SimpleNamespace(
-        own="r0", slots=4, by_name={name: name for name in RANKS}
+        local_name="r0", slots=4, by_name={name: name for name in RANKS}
     )
     context.group = group.Group(
         reactor=context.clock,
--- a/features/steps/agent_lease_steps.py
+++ b/features/steps/agent_lease_steps.py
@@ -14,7 +14,7 @@
 from features import holder_fakes
 
 OUTCOMES = {item.name.lower(): item for item in rank.Outcome}
-ALONE = "The group is left alone."
+ABORTED = "Aborted a check of the group."
 
 
 class _Ranks(holder_fakes.Ranks):
@@ -29,11 +29,11 @@
         self.answers = []
         self.outcome = rank.Outcome.TAKEN
 
-    async def ask_all(self):
+    async def query_all(self):
         self.asked += 1
         if self.asked == self._ask:
             await self._wait()
-        return await super().ask_all()
+        return await super().query_all()
 
     async def order(self, member, order, *, fence, epoch):
         kind = type(order).__name__.lower()
@@ -157,7 +157,7 @@
 @then("it has said once that it leaves the group alone")
 def _(context):
     said = [c.args[0] for c in context.warned.call_args_list]
-    assert said.count(ALONE) == 1, (said, context.ended)
+    assert said.count(ABORTED) == 1, (said, context.ended)
 
 
 @then("it looks after the group again under the next fence")
--- a/features/steps/layouts_under_shift_steps.py
+++ b/features/steps/layouts_under_shift_steps.py
@@ -162,11 +162,11 @@
     context.arming = arming.Arming(clock=clocks)
     for step in range(5):
         by_name = {"r0": rank.Rank("g", 1, 0, 1, True, step, 0)}
-        context.arming.note_ranks(by_name)
+        context.arming.record_ranks(by_name)
         clocks.advance(step_s)
-    context.arming.note_orders([rank.Hold(7)])
+    context.arming.record_orders([rank.Hold(7)])
     clocks.advance(arming_s)
-    context.arming.note_orders([rank.Go(7)])
+    context.arming.record_orders([rank.Go(7)])
 
 
 @then("the next change is held {steps:d} steps ahead")
--- a/features/steps/loops_steps.py
+++ b/features/steps/loops_steps.py
@@ -107,7 +107,7 @@
         clock=context.clock,
         roster=types.SimpleNamespace(read=slowly),
         target="g",
-        own=reach.Member("10.0.0.1:1", "10.0.0.1:2"),
+        local=reach.Member("10.0.0.1:1", "10.0.0.1:2"),
     )
     made.following = True
     defer.ensureDeferred(made.run())
@@ -120,7 +120,7 @@
     context.reactor = context.clock
     context.clock = context.group.progress._clock
     context.work = Work(dict)
-    ranks.ask_all = context.work
+    ranks.query_all = context.work
     context.group.acquire(1)
     defer.ensureDeferred(context.group.run())
     return context.group.progress
--- a/features/steps/rank_starts_steps.py
+++ b/features/steps/rank_starts_steps.py
@@ -37,7 +37,7 @@
             born_ms = BORN_MS if told else None
             self.by_name[each] = item._replace(born_ms=born_ms)
 
-    async def ask_all(self):
+    async def query_all(self):
         """Return all ranks; the holder has heard of these starts then."""
         self._heard.update(self.by_name)
         return dict(self.by_name)
@@ -186,13 +186,13 @@
     )
     context.made = made
     for _ in range(2):
-        defer.ensureDeferred(made.ask_all())
+        defer.ensureDeferred(made.query_all())
     again = found._replace(born_ms=BORN_MS + 5)
     context.told = rank_wire.RankReport(again, None, ((2,),))
-    defer.ensureDeferred(made.ask_all())
+    defer.ensureDeferred(made.query_all())
 
 
 @then("what it holds is asked for in the next look")
 def _(context):
-    defer.ensureDeferred(context.made.ask_all())
+    defer.ensureDeferred(context.made.query_all())
     assert context.asked == [True, False, False, True], context.asked
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/arming.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/arming.py
@@ -1,8 +1,7 @@
-"""How far ahead a change of a layout has to be held.
+"""Computes how many steps ahead a layout change has to be held.
 
-From the hold on every rank is armed before the group may begin the step that
-is held.  With many ranks that takes longer than some steps do: the group then
-stands still, and every stream in progress has a pause that is too long.
+Every rank is armed between the hold and the held step.  If arming takes
+longer than the steps in between, the group stalls and every stream pauses.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -13,11 +12,10 @@
 
 from reelscale_core import clock, rank, relayout
 
-# The time that arming took last is allowed for so many times: orders to some
-# ranks may be slower the next time.
-ALLOWANCE = 1.5
-# No change is held further ahead, in steps: demand is to be met soon.
-MOST_STEPS = 12
+# Applied to the last arming time: some orders may be slower the next time.
+SAFETY_FACTOR = 1.5
+# Upper bound of the margin, so that a change still meets current demand.
+MAX_STEPS = 12
 
 
 class Arming:
@@ -31,8 +29,8 @@
         self._held_at: float | None = None
         self._arming_s = 0.0
 
-    def note_ranks(self, by_name: Mapping[str, rank.Rank]) -> None:
-        """Take from a look at all ranks how long a step takes."""
+    def record_ranks(self, by_name: Mapping[str, rank.Rank]) -> None:
+        """Measure the duration of a step from a check of all ranks."""
         step = max((item.step for item in by_name.values()), default=0)
         now = self._clock.monotonic()
         if self._step is not None and step > self._step:
@@ -40,8 +38,8 @@
         if step != self._step:
             self._step, self._step_at = step, now
 
-    def note_orders(self, orders: Iterable[rank.Order]) -> None:
-        """Take the orders of a round: from a hold to its end all are armed."""
+    def record_orders(self, orders: Iterable[rank.Order]) -> None:
+        """Measure the arming time, from a hold order to its end."""
         now = self._clock.monotonic()
         for order in orders:
             match order:
@@ -53,8 +51,8 @@
 
     @property
     def margin(self) -> int:
-        """How many steps ahead the next change is to be held."""
+        """How many steps ahead to hold the next change."""
         if not self._step_s:
             return relayout.MARGIN_STEPS
-        steps = math.ceil(ALLOWANCE * self._arming_s / self._step_s)
-        return min(MOST_STEPS, max(relayout.MARGIN_STEPS, 1 + steps))
+        steps = math.ceil(SAFETY_FACTOR * self._arming_s / self._step_s)
+        return min(MAX_STEPS, max(relayout.MARGIN_STEPS, 1 + steps))
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
@@ -1,8 +1,8 @@
-"""Keeps the experts of a group where its requests want them.
+"""Adapts the expert layout of a group to the demand of its requests.
 
-The agents of some ranks ask for the group's lease.  While the group is busy
-the holder looks at all ranks again and again; once a better layout is worth
-what it costs, it brings every rank onto it.
+The agents of some ranks compete for the group's lease.  While the group is
+busy, the holder polls all ranks; once a better layout is worth the cost of
+the change, it moves every rank to it.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -19,45 +19,44 @@
 from . import arming, follower, holds, members, rank_reports, reach
 
 LOG = logs.Logger("group")
-# Seconds between two looks at all ranks; what requests want shifts within
-# seconds, and a look costs each agent some 3 ms of processor time.
-TICK_S = 0.12
-# The same while the group is not busy, and its layout left as it is.
-IDLE_TICK_S = 0.4
-# Seconds between two looks while ranks load weights: 40 ms an expert.
-LOADING_TICK_S = 0.05
-# Below this part of its slots a group keeps up with any layout.  Above it a
-# shift may fill the group before a change is made, and full it stays slow.
-BUSY = 0.25
-# Versions of one holder lie so many apart from those of the next.
-VERSIONS_A_FENCE = 1000
-# Rounds that give a change up: its ranks are disarmed, the group goes on, and
-# each may be lost a few times.
-ROUNDS_WITHOUT = 8
-# Rounds of orders without a pause; each takes a few milliseconds.
-MOST_ROUNDS = 60
-# Seconds that a holder which stops goes on at most to let go of a group that
-# it may have held; an order without an answer may be carried out seconds
-# later, and without a holder the group waits 1.0 s (live-layouts.md).
-FINISH_S = 2.0
+# Interval between checks of all ranks, in seconds.  Demand shifts within
+# seconds; a check costs each agent about 3 ms of processor time.
+CHECK_INTERVAL_S = 0.12
+# The same while the group is not busy and keeps its layout.
+IDLE_CHECK_INTERVAL_S = 0.4
+# The same while ranks load weights, which takes about 40 ms per expert.
+LOADING_CHECK_INTERVAL_S = 0.05
+# Fraction of slots in use from which the layout is adapted.  A group that is
+# full before a change is made stays slow.
+BUSY_FRACTION = 0.25
+# Distance between the first layout versions of consecutive fences.
+VERSIONS_PER_FENCE = 1000
+# Rounds of orders that cancel a change; each order may be lost a few times.
+MAX_CANCEL_ROUNDS = 8
+# Consecutive rounds of orders without a pause.
+MAX_ROUNDS = 60
+# How long a stopping holder may continue to release a group that it may have
+# held, in seconds.  An unanswered order may still be carried out later, and
+# without a holder the group waits 1.0 s (live-layouts.md).
+STOP_TIMEOUT_S = 2.0
 
 
 class _Fenced(NamedTuple):
-    """Who refuses earlier holders.
+    """The ranks that refuse earlier holders.
 
     Attributes:
-      fence: They are refused by it.
+      fence: Orders with a lower fence are refused.
       epoch: The epoch of the group.
-      born_ms: The start of each rank; another start has forgotten it.
+      started_ms: Start time of each rank; a restarted rank loses its fence.
     """
 
     fence: int
     epoch: int
-    born_ms: Mapping[str, int | None]
+    started_ms: Mapping[str, int | None]
 
 
 class Group:
-    """The holder's work, while this agent holds the lease."""
+    """Manages the layout of a group while this agent holds its lease."""
 
     def __init__(
         self,
@@ -70,16 +69,16 @@
         members: members.Members,
         target: str,
     ) -> None:
-        """Make it; run() does the work.
+        """Create the controller; run() starts it.
 
         Args:
-          reactor: The loop.
+          reactor: The Twisted reactor.
           clock: The time.
-          reach: Takes orders to ranks.
-          ranks: What is known of all ranks.
-          engines: What the operators say of engines.
-          members: The ranks that are listed, and their agents.
-          target: The group.
+          reach: Sends orders to ranks.
+          ranks: The reports of all ranks.
+          engines: The configured limits of engines.
+          members: The listed ranks and their agents.
+          target: The target that the group serves.
         """
         self._reactor = reactor
         self._reach = reach
@@ -88,20 +87,20 @@
         self._members = members
         self._target = target
         self._fence: int | None = None
-        # The fence that the look in progress began under; the lease may be
-        # lost, and got again, while the look awaits an answer.
-        self._look_fence = -1
+        # The fence under which the current check began; the lease may be
+        # lost and regained while the check awaits an answer.
+        self._round_fence = -1
         self._finish_only = False
         self._busy = False
         self._limits: base.EngineLimits | None = None
-        self._wanted: relayout.Wanted | None = None
+        self._desired: relayout.Wanted | None = None
         self._fenced: _Fenced | None = None
         self._refused_fence = -1
         self._newest_version = 0
         self._holds = holds.Holds()
         self._arming = arming.Arming(clock=clock)
         self._stopped = False
-        self._finish_by = math.inf
+        self._stop_deadline = math.inf
         self._follower = follower.Follower(
             reactor=reactor,
             clock=clock,
@@ -112,152 +111,156 @@
         )
 
     async def run(self) -> None:
-        """Look after the group while the lease is held, until stopped.
+        """Manage the group while the lease is held, until stopped.
 
-        A group that this holder may have held is let go of before that, if
-        its ranks can be reached within FINISH_S.
+        A group that this holder may have held is released first, if its
+        ranks can be reached within STOP_TIMEOUT_S.
         """
         await self._follower.run()
 
     async def _round(self) -> float:
-        """Look at the group if it is held; return the pause after it."""
+        """Check the group if the lease is held; return the next pause."""
         if not self.holds:
-            return TICK_S
-        await self._look()
+            return CHECK_INTERVAL_S
+        await self._check()
         return self._pause_s()
 
     async def _on_down(self, lost: error.CodedError) -> float:
-        """Tell why the group was left alone; return the pause after it."""
-        LOG.warning("The group is left alone.", reason=lost.detail)
+        """Log why the check was aborted; return the next pause."""
+        LOG.warning("Aborted a check of the group.", reason=lost.detail)
         return self._pause_s()
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the looks get on."""
+        """Return the progress of the checks."""
         return self._follower.progress
 
     async def learn_limits(self) -> None:
-        """Ask what the engine allows, once; CodedError "log-down"."""
+        """Read the engine's limits once; CodedError "log-down"."""
         if self._limits is None:
             self._limits = await self._engines.limits(self._target)
 
     def stop(self) -> None:
-        """Begin no further change; one in progress is brought to its end."""
+        """Begin no further change; complete one in progress."""
         self._stopped = True
-        self._finish_by = self._reactor.seconds() + FINISH_S
+        self._stop_deadline = self._reactor.seconds() + STOP_TIMEOUT_S
 
     def _must_finish(self) -> bool:
-        """Tell whether a stop still has to let go of the group."""
-        # One that was refused leaves the group to the newer holder.
-        if not self.holds or not self._holds.left:
+        """Return whether a stop still has to release the group."""
+        # A refused holder leaves the group to the newer one.
+        if not self.holds or not self._holds.may_remain:
             return False
-        if self._reactor.seconds() < self._finish_by:
+        if self._reactor.seconds() < self._stop_deadline:
             return True
-        LOG.warning("The group may be left held.", fence=self._fence)
+        LOG.warning("Stopped without releasing the group.", fence=self._fence)
         return False
 
     def _pause_s(self) -> float:
-        """Return the seconds until the next look."""
-        if self._stopped or self._wanted is not None:
-            return LOADING_TICK_S
-        return TICK_S if self._busy or self._finish_only else IDLE_TICK_S
+        """Return the seconds until the next check."""
+        if self._stopped or self._desired is not None:
+            return LOADING_CHECK_INTERVAL_S
+        return (
+            CHECK_INTERVAL_S
+            if self._busy or self._finish_only
+            else IDLE_CHECK_INTERVAL_S
+        )
 
     def acquire(self, fence: int, *, finish_only: bool = False) -> None:
-        """Look after the group under a fence from now on.
+        """Manage the group under a fence from now on.
 
         Args:
-          fence: Higher than any before it.
-          finish_only: Whether only a change in progress is to be finished.
+          fence: Higher than any earlier fence.
+          finish_only: Whether to complete only a change in progress.
         """
         self._fence = fence
         self._finish_only = finish_only
-        self._wanted = None
+        self._desired = None
         self._follower.wake()
 
     def release(self) -> None:
-        """Leave the group to another, but for a change to be finished.
+        """Stop managing the group, unless only a change is to be completed.
 
-        A look in progress sends no order after that; what it leaves of a
-        change is finished by the next holder.
+        A check in progress sends no further order; the next holder completes
+        a change that is left unfinished.
         """
         if not self._finish_only:
             self._fence = None
 
     @property
     def holds(self) -> bool:
-        """Whether a fence was taken that no rank has refused."""
+        """Whether this holder has a fence that no rank has refused."""
         return self._fence is not None and self._fence > self._refused_fence
 
-    async def _ask_all(self) -> dict[str, rank.Rank]:
-        """Ask all ranks; note whether one holds the group."""
-        by_name = await self._ranks.ask_all()
-        self._holds.note_ranks(by_name)
-        self._check_fence()
+    async def _query_ranks(self) -> dict[str, rank.Rank]:
+        """Query all ranks; record whether one holds the group."""
+        by_name = await self._ranks.query_all()
+        self._holds.record_ranks(by_name)
+        self._require_fence()
         return by_name
 
-    def _check_fence(self) -> None:
-        """End a look whose fence was given up; CodedError "lease-lost"."""
-        if self._fence != self._look_fence:
+    def _require_fence(self) -> None:
+        """Abort a check whose fence was released; CodedError "lease-lost"."""
+        if self._fence != self._round_fence:
             raise error.CodedError(
                 "lease-lost",
                 step="look",
-                detail=f"The lease of fence {self._look_fence} was lost.",
+                detail=f"The lease of fence {self._round_fence} was lost.",
             )
 
-    async def _look(self) -> None:
-        """Look at all ranks once and do what there is to do.
+    async def _check(self) -> None:
+        """Query all ranks once and start or continue a layout change.
 
         Raises:
           error.CodedError: "lease-lost" if the lease was lost meanwhile;
             what learn_limits() raises.
         """
-        self._look_fence = self._fence
-        by_name = await self._ask_all()
-        self._arming.note_ranks(by_name)
+        self._round_fence = self._fence
+        by_name = await self._query_ranks()
+        self._arming.record_ranks(by_name)
         if not relayout.whole(by_name):
-            self._wanted = None
-            await self._go_on_without(by_name)
+            self._desired = None
+            await self._cancel_change(by_name)
             return
         epoch = next(iter(by_name.values())).epoch
-        if not self._all_refuse(by_name, epoch):
-            if not await self._refuse_earlier(by_name, epoch):
+        if not self._is_fenced(by_name, epoch):
+            if not await self._fence_earlier_holders(by_name, epoch):
                 return
-            by_name = await self._ask_all()
+            by_name = await self._query_ranks()
             if not relayout.whole(by_name):
                 return
-            if not self._all_refuse(by_name, epoch):
-                # A rank has started again meanwhile, and has forgotten it.
+            if not self._is_fenced(by_name, epoch):
+                # A rank restarted meanwhile and lost the fence.
                 return
-        if self._wanted is None and _at_rest(by_name):
+        if self._desired is None and _is_settled(by_name):
             if self._finish_only:
-                LOG.info("The group goes on.", fence=self._fence, epoch=epoch)
+                LOG.info("Completed a change.", fence=self._fence, epoch=epoch)
                 self._fence, self._finish_only = None, False
                 return
-            await self._choose(by_name)
+            await self._choose_layout(by_name)
         await self._drive(by_name, epoch)
 
-    async def _choose(self, by_name: Mapping[str, rank.Rank]) -> None:
-        """Want a layout if the group is busy and one is worth it."""
+    async def _choose_layout(self, by_name: Mapping[str, rank.Rank]) -> None:
+        """Choose a layout if the group is busy and one is worth its cost."""
         if self._stopped:
             return
         await self.learn_limits()
-        self._check_fence()
+        self._require_fence()
         self._busy = self._is_busy(by_name)
-        self._wanted = self._want(by_name) if self._busy else None
+        self._desired = self._better_layout(by_name) if self._busy else None
 
-    async def _go_on_without(self, by_name: dict[str, rank.Rank]) -> None:
-        """Let the group go on where a holder fell silent with its rank."""
+    async def _cancel_change(self, by_name: dict[str, rank.Rank]) -> None:
+        """Cancel a change whose holder and rank are unresponsive."""
         held = [item for item in by_name.values() if item.held is not None]
         if not held or relayout.missing_number(by_name) is None:
             return
         epoch = held[0].epoch
         self._fenced = None
-        if not await self._refuse_earlier(by_name, epoch):
+        if not await self._fence_earlier_holders(by_name, epoch):
             return
-        # The missing rank does not know this fence yet.
+        # The missing rank has not received this fence.
         self._fenced = None
-        for _ in range(ROUNDS_WITHOUT):
-            by_name = await self._ask_all()
+        for _ in range(MAX_CANCEL_ROUNDS):
+            by_name = await self._query_ranks()
             missing = relayout.missing_number(by_name)
             if missing is None:
                 return
@@ -265,72 +268,73 @@
             if not orders:
                 return
             LOG.info(
-                "A change is given up; its holder and a rank are silent.",
+                "Cancelling a change; its holder and a rank do not respond.",
                 missing=missing,
                 epoch=epoch,
                 orders=len(orders),
             )
             await self._send(orders, epoch)
 
-    def _all_refuse(
-        self, by_name: Mapping[str, rank.Rank], epoch: int
-    ) -> bool:
-        """Tell whether these starts of all ranks refuse earlier holders."""
-        return self._fenced == _Fenced(self._fence, epoch, _born(by_name))
+    def _is_fenced(self, by_name: Mapping[str, rank.Rank], epoch: int) -> bool:
+        """Return whether these starts of all ranks refuse earlier holders."""
+        return self._fenced == _Fenced(
+            self._fence, epoch, _start_times(by_name)
+        )
 
-    async def _refuse_earlier(
+    async def _fence_earlier_holders(
         self, by_name: Mapping[str, rank.Rank], epoch: int
     ) -> bool:
-        """Have every rank refuse earlier holders; tell whether all do."""
-        self._wanted = None
+        """Fence off earlier holders at every rank; return whether all did."""
+        self._desired = None
         order = rank.Fence(self._next_version(by_name))
         orders = dict.fromkeys(by_name, order)
         outcomes, _ = await self._send(orders, epoch)
-        if any(found != rank.Outcome.TAKEN for found in outcomes.values()):
+        if any(item != rank.Outcome.TAKEN for item in outcomes.values()):
             return False
-        self._fenced = _Fenced(self._fence, epoch, _born(by_name))
+        self._fenced = _Fenced(self._fence, epoch, _start_times(by_name))
         LOG.info(
             "All ranks refuse earlier holders.", fence=self._fence, epoch=epoch
         )
         return True
 
     async def _drive(self, by_name: dict[str, rank.Rank], epoch: int) -> None:
-        """Send orders until there is nothing to do but to wait."""
-        own = self._members.own
-        for _ in range(MOST_ROUNDS):
-            # After a stop only what ranks hold or are armed for goes on.
-            wanted = None if self._stopped else self._wanted
+        """Send orders until all ranks have none pending or are loading."""
+        holder = self._members.local_name
+        for _ in range(MAX_ROUNDS):
+            # After a stop only changes that ranks hold or are armed for
+            # continue.
+            wanted = None if self._stopped else self._desired
             orders = relayout.plan(
                 by_name,
                 wanted=wanted,
-                holder=own,
+                holder=holder,
                 margin=self._arming.margin,
             )
             if not orders:
                 break
-            self._arming.note_orders(orders.values())
-            outcomes, told = await self._send(orders, epoch)
+            self._arming.record_orders(orders.values())
+            outcomes, reported = await self._send(orders, epoch)
             if rank.Outcome.FENCED in outcomes.values():
                 return
-            if _started_again(by_name, told):
-                LOG.warning("A rank has started again.", epoch=epoch)
+            if _any_restarted(by_name, reported):
+                LOG.warning("A rank restarted.", epoch=epoch)
                 return
-            by_name = {**by_name, **told}
-            if len(told) < len(orders) or not relayout.whole(by_name):
-                by_name = await self._ask_all()
+            by_name = {**by_name, **reported}
+            if len(reported) < len(orders) or not relayout.whole(by_name):
+                by_name = await self._query_ranks()
                 if not relayout.whole(by_name):
                     return
-            self._holds.note_ranks(by_name)
-            if self._note_prepares(orders, outcomes):
+            self._holds.record_ranks(by_name)
+            if self._handle_prepares(orders, outcomes):
                 return
-        self._note_done(by_name)
+        self._finish_if_in_use(by_name)
 
-    def _note_prepares(
+    def _handle_prepares(
         self,
         orders: Mapping[str, rank.Order],
         outcomes: Mapping[str, rank.Outcome],
     ) -> bool:
-        """Give a layout up that a rank refuses; tell whether ranks load."""
+        """Drop a layout that a rank refuses; return whether ranks load."""
         prepares = [
             n for n, o in orders.items() if isinstance(o, rank.Prepare)
         ]
@@ -341,40 +345,40 @@
         ]
         if refused:
             LOG.warning(
-                "Ranks refuse to prepare a layout; it is given up.",
-                version=self._wanted.version,
+                "Ranks refused to prepare a layout; it is dropped.",
+                version=self._desired.version,
                 ranks=refused,
             )
-            self._wanted = None
+            self._desired = None
         return True
 
-    def _note_done(self, by_name: Mapping[str, rank.Rank]) -> None:
-        """Forget the wanted layout once every rank uses it."""
-        wanted = self._wanted
-        if wanted is None or not all(
-            item.version == wanted.version for item in by_name.values()
+    def _finish_if_in_use(self, by_name: Mapping[str, rank.Rank]) -> None:
+        """Clear the desired layout once every rank uses it."""
+        desired = self._desired
+        if desired is None or not all(
+            item.version == desired.version for item in by_name.values()
         ):
             return
-        self._wanted = None
-        LOG.info("A layout is in use at all ranks.", version=wanted.version)
-        self._ranks.record_in_use(by_name, wanted)
+        self._desired = None
+        LOG.info("A layout is in use at all ranks.", version=desired.version)
+        self._ranks.record_in_use(by_name, desired)
 
     def _is_busy(self, by_name: Mapping[str, rank.Rank]) -> bool:
-        """Tell whether the group has so much to do that its layout counts."""
+        """Return whether the group has enough load to adapt its layout."""
         running = sum(item.requests for item in by_name.values())
-        part = len(by_name) / max(1, len(self._members.by_name))
-        return running >= BUSY * self._members.slots * part
+        fraction = len(by_name) / max(1, len(self._members.by_name))
+        return running >= BUSY_FRACTION * self._members.slots * fraction
 
-    def _want(
+    def _better_layout(
         self, by_name: Mapping[str, rank.Rank]
     ) -> relayout.Wanted | None:
-        """Return a layout that is worth changing to, if there is one."""
+        """Return a layout that is worth the change; None if there is none."""
         better = self._ranks.choose(by_name, self._limits)
         if better is None:
             return None
         version = self._next_version(by_name)
         LOG.info(
-            "A layout is wanted.",
+            "Chose a better layout.",
             version=version,
             skew_before=round(better.skew_before, 3),
             skew_after=round(better.skew_after, 3),
@@ -386,57 +390,57 @@
         """Return a version that no rank has seen."""
         seen = [item.version for item in by_name.values()]
         seen += [item.prepared or 0 for item in by_name.values()]
-        own = self._fence * VERSIONS_A_FENCE
-        self._newest_version = max(*seen, own, self._newest_version) + 1
+        first = self._fence * VERSIONS_PER_FENCE
+        self._newest_version = max(*seen, first, self._newest_version) + 1
         return self._newest_version
 
     async def _send(
         self, orders: Mapping[str, rank.Order], epoch: int
     ) -> tuple[dict[str, rank.Outcome], dict[str, rank.Rank]]:
-        """Send orders; return their outcomes and the ranks after them."""
+        """Send orders; return their outcomes and the ranks' new states."""
         sent = [
             self._order(name, order, epoch) for name, order in orders.items()
         ]
         rows = await rank_reports.gather(sent)
         outcomes = {name: outcome for name, outcome, _ in rows}
-        told = {name: item for name, _, item in rows if item is not None}
-        self._holds.note_outcomes(orders, outcomes, epoch)
+        reported = {name: item for name, _, item in rows if item is not None}
+        self._holds.record_outcomes(orders, outcomes, epoch)
         if rank.Outcome.FENCED in outcomes.values():
             LOG.warning(
-                "A newer holder has the group.", fence=self._look_fence
+                "A newer holder has the group.", fence=self._round_fence
             )
-            self._refused_fence = self._look_fence
-            self._wanted = None
-        self._check_fence()
-        return outcomes, told
+            self._refused_fence = self._round_fence
+            self._desired = None
+        self._require_fence()
+        return outcomes, reported
 
     async def _order(
         self, name: str, order: rank.Order, epoch: int
     ) -> tuple[str, rank.Outcome, rank.Rank | None]:
         member = self._members.by_name[name]
-        outcome, told = await self._reach.order(
-            member, order, fence=self._look_fence, epoch=epoch
+        outcome, reported = await self._reach.order(
+            member, order, fence=self._round_fence, epoch=epoch
         )
-        return name, outcome, told
+        return name, outcome, reported
 
 
-def _born(by_name: Mapping[str, rank.Rank]) -> dict[str, int | None]:
-    """Return the start of each rank."""
+def _start_times(by_name: Mapping[str, rank.Rank]) -> dict[str, int | None]:
+    """Return the start time of each rank."""
     return {name: item.born_ms for name, item in by_name.items()}
 
 
-def _started_again(
+def _any_restarted(
     before: Mapping[str, rank.Rank], now: Mapping[str, rank.Rank]
 ) -> bool:
-    """Tell whether a rank tells of another start than it did before."""
+    """Return whether a rank reports another start than before."""
     return any(
         starts.are_distinct(before[name].born_ms, item.born_ms)
         for name, item in now.items()
     )
 
 
-def _at_rest(by_name: Mapping[str, rank.Rank]) -> bool:
-    """Tell whether no change is in progress at any rank."""
+def _is_settled(by_name: Mapping[str, rank.Rank]) -> bool:
+    """Return whether no change is in progress at any rank."""
     return not any(
         item.armed or item.held is not None or item.copying
         for item in by_name.values()
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/holds.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/holds.py
@@ -1,4 +1,4 @@
-"""Holds of a group that its holder must not leave behind."""
+"""Tracks holds of a group that its holder has to release before it stops."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -9,10 +9,10 @@
 
 
 class Holds:
-    """What a holder knows of holds of its group.
+    """The holds of a group, as its holder knows them.
 
     Attributes:
-      seen: Whether a rank holds the group, by the last that was heard.
+      seen: Whether a rank held the group at its last report.
     """
 
     def __init__(self) -> None:
@@ -20,17 +20,17 @@
         self._unanswered: set[tuple[str, int, int]] = set()
 
     @property
-    def left(self) -> bool:
+    def may_remain(self) -> bool:
         """Whether a rank holds the group, or may do so later."""
         return self.seen or bool(self._unanswered)
 
-    def note_outcomes(
+    def record_outcomes(
         self,
         orders: Mapping[str, rank.Order],
         outcomes: Mapping[str, rank.Outcome],
         epoch: int,
     ) -> None:
-        """Note what became of orders to hold the group."""
+        """Record the outcomes of orders to hold the group."""
         for name, order in orders.items():
             if not isinstance(order, rank.Hold):
                 continue
@@ -39,22 +39,22 @@
             elif outcomes[name] == rank.Outcome.TAKEN:
                 self.seen = True
 
-    def note_ranks(self, by_name: Mapping[str, rank.Rank]) -> None:
-        """Note what ranks report; a silent one may hold what it held."""
+    def record_ranks(self, by_name: Mapping[str, rank.Rank]) -> None:
+        """Record reports; an unresponsive rank may still hold the group."""
         held = any(item.held is not None for item in by_name.values())
         if held or relayout.whole(by_name):
             self.seen = held
         self._unanswered = {
             hold
             for hold in self._unanswered
-            if not _comes_too_late(hold, by_name)
+            if not _is_obsolete(hold, by_name)
         }
 
 
-def _comes_too_late(
+def _is_obsolete(
     hold: tuple[str, int, int], by_name: Mapping[str, rank.Rank]
 ) -> bool:
-    """Tell whether a rank refuses a hold that is carried out from now on."""
+    """Return whether a rank would refuse a hold that reaches it now."""
     name, step, epoch = hold
     item = by_name.get(name)
     return item is not None and (item.epoch != epoch or item.step >= step)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
@@ -1,4 +1,4 @@
-"""The agents of a group, by the platform's list of its upstreams."""
+"""Follows the platform's list for the ranks of a target and their agents."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -13,10 +13,10 @@
 from . import follower, reach
 
 LOG = logs.Logger("members")
-# How long a read waits at the list, in seconds; a rank that is missing shows
-# by its silence, so a change of the list may be heard late.
+# How long a read waits for changes of the list, in seconds.  A missing rank is
+# noticed because it does not answer, so changes may arrive late.
 POLL_S = 10.0
-# After a read that failed, in seconds.
+# Delay after a failed read, in seconds.
 RETRY_S = 0.5
 
 
@@ -24,13 +24,13 @@
     """The agents beside the upstreams of one target.
 
     Attributes:
-      own: Name of this agent's rank among them.
+      local_name: Name of this agent's rank among them.
       by_name: All ranks; each is named by the address of its agent.
-      slots: Requests that they work on at once, together.
-      following: Whether the list is followed.
-      group: Name of the group that the own rank is in, "" while unknown;
-        a target may have several.
-      group_size: Ranks of that group, 0 while unknown.
+      slots: Total number of requests that they can serve at once.
+      following: Whether to follow the list.
+      group: Name of the local rank's group, "" while unknown; a target may
+        have several.
+      group_size: Number of ranks in that group, 0 while unknown.
     """
 
     def __init__(
@@ -40,27 +40,27 @@
         clock: clock.Clock,
         roster: base.Roster,
         target: str,
-        own: reach.Member,
+        local: reach.Member,
     ) -> None:
-        """Make it.
+        """Create the list; run() follows it.
 
         Args:
-          reactor: The loop.
+          reactor: The Twisted reactor.
           clock: The time.
           roster: The platform's list.
-          target: The group.
-          own: This agent and its rank; all agents listen at the same port.
+          target: The target that the group serves.
+          local: This agent and its rank; all agents use the same port.
         """
-        self.own = own.agent
+        self.local_name = local.agent
         self.by_name: dict[str, reach.Member] = {}
-        self._own = own
+        self._local = local
         self.slots = 0
         self.following = False
         self.group = ""
         self.group_size = 0
         self._roster = roster
         self._target = target
-        self._port = own.agent.rpartition(":")[2]
+        self._port = local.agent.rpartition(":")[2]
         self._listed: dict[str, announcement.Announcement] = {}
         self._next = 0
         self._stopped = False
@@ -76,38 +76,38 @@
         )
 
     async def run(self) -> None:
-        """Follow the list while it is needed, until stopped."""
+        """Follow the list while `following` is set, until stopped."""
         await self._follower.run()
 
     async def _round(self) -> float:
-        """Read the list if it is needed; return the pause after it."""
+        """Read the list if `following` is set; return the next pause."""
         if not self.following:
             return RETRY_S
         await self._read()
         return 0.0
 
     async def _on_down(self, down: error.CodedError) -> float:
-        """Tell that the list cannot be read; return the pause after it."""
+        """Log that the list cannot be read; return the next pause."""
         if not self._stopped:
-            LOG.warning("The list cannot be read.", reason=down.detail)
+            LOG.warning("Cannot read the list.", reason=down.detail)
         return RETRY_S
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the following of the list gets on."""
+        """Return the progress of the loop that follows the list."""
         return self._follower.progress
 
     def stop(self) -> None:
-        """Follow the list no longer."""
+        """Stop following the list."""
         self._stopped = True
 
-    def record_local_rank(self, found: rank.Rank) -> None:
-        """Take from the own rank which group it is in."""
-        self.group, self.group_size = found.group, found.size
+    def record_local_rank(self, local: rank.Rank) -> None:
+        """Record the group of the local rank."""
+        self.group, self.group_size = local.group, local.size
 
     @property
     def one_group(self) -> bool:
-        """Whether all ranks of the target are those of the own group."""
+        """Whether all ranks of the target are in the local group."""
         return len(self.by_name) <= self.group_size
 
     async def _read(self) -> None:
@@ -119,17 +119,17 @@
             self._listed = {}
             self._starts.retain({item.name for item in page.items})
         for item in page.items:
-            self._take(item)
+            self._apply(item)
         self._list(self._starts.promote_due(self._clock.monotonic()))
-        found = [self._member(i.address) for i in self._listed.values()]
+        listed = [self._member(i.address) for i in self._listed.values()]
         self.slots = sum(item.slots for item in self._listed.values())
-        self.by_name = {item.agent: item for item in [*found, self._own]}
+        self.by_name = {item.agent: item for item in [*listed, self._local]}
 
-    def _take(self, item: announcement.Item) -> None:
+    def _apply(self, item: announcement.Item) -> None:
         match item:
             case announcement.Announcement():
-                worth = self._starts.classify(item, self._clock.monotonic())
-                if worth is starts.Verdict.CURRENT:
+                verdict = self._starts.classify(item, self._clock.monotonic())
+                if verdict is starts.Verdict.CURRENT:
                     self._list([item])
             case (
                 announcement.Withdrawn(name=n) | announcement.Unusable(name=n)
@@ -138,7 +138,7 @@
                 self._listed.pop(n, None)
 
     def _list(self, items: Iterable[announcement.Announcement]) -> None:
-        """List those of the group that announced themselves."""
+        """Add announced upstreams of the target to the list."""
         for item in items:
             if item.target == self._target:
                 self._listed[item.name] = item
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/rank_reports.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/rank_reports.py
@@ -1,7 +1,7 @@
-"""What all ranks of a group tell, and the layout that would suit them better.
+"""Collects the reports of a group's ranks and finds better layouts.
 
-Their state is asked for at each look.  What a rank holds changes only with
-its layout, so that is kept until its version or its epoch is another.
+Their state is queried at each check.  The experts that a rank holds change
+only with its layout, so they are cached per version and epoch.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -17,33 +17,31 @@
 from ..adapters import base
 from . import members, reach
 
-# The demand of half a second ago counts half: by then some 20 new prompts
-# have been read, enough to tell what is wanted now.
+# Half-life of the weight of observed demand; some 20 prompts arrive in it.
 HALF_LIFE_S = 0.5
-# A change that shortens the slowest ranks' part by less is not made.
-LEAST_IMPROVEMENT = 0.12
-# A replica is loaded if it takes this part of the mean load from the most
-# loaded rank.
-LEAST_GAIN = 0.1
-# So many ranks are asked at a time; their counters take some 30 KB, which is
-# 0.06 s on a link of 4 Mbit/s.
-ASKED_AT_ONCE = 8
-# A rank of another group, or one that has not answered, is asked again after
-# this long, in seconds: groups are formed anew when a rank has gone.
-RECHECK_S = 2.0
-# The loads of one change take a rank no longer than this, in seconds: what is
-# wanted shifts every few seconds, and few loads win most of what there is.
-LOADING_S = 0.5
+# A change that reduces the mean skew by less than this fraction is not made.
+MIN_IMPROVEMENT = 0.12
+# A replica is loaded if it takes at least this fraction of the mean load off
+# the most loaded rank.
+MIN_GAIN = 0.1
+# The counters of a batch of ranks take some 30 KB: 0.06 s at 4 Mbit/s.
+MAX_CONCURRENT_QUERIES = 8
+# Interval between queries of a rank of another or an unknown group, in
+# seconds: groups form anew when a rank departs.
+REQUERY_INTERVAL_S = 2.0
+# Upper bound on the time that a rank spends loading for one change; demand
+# shifts every few seconds.
+MAX_LOADING_S = 0.5
 
 
 class Held(NamedTuple):
-    """What one rank holds.
+    """The experts that one rank holds.
 
     Attributes:
-      epoch: In which that is so.
-      version: The layout.
+      epoch: The epoch of the report.
+      version: The version of the layout.
       experts: Experts by set of layers.
-      born_ms: Unix time of the rank's start in milliseconds, if it told.
+      born_ms: Unix time of the rank's start in milliseconds, if reported.
     """
 
     epoch: int
@@ -53,14 +51,14 @@
 
 
 class BetterLayout(NamedTuple):
-    """A layout that is worth changing to.
+    """A layout that is worth the cost of a change.
 
     Attributes:
       table: The experts that each rank holds in it.
-      skew_before: Largest over mean load of a rank in the layout in use,
-        on average over the sets of layers.
-      skew_after: The same in this one.
-      loaded: Experts that ranks have to load.
+      skew_before: Maximum over mean load of a rank in the layout in use,
+        averaged over the sets of layers.
+      skew_after: The same in this layout.
+      loaded: Number of experts that ranks have to load.
     """
 
     table: rank.Table
@@ -70,7 +68,7 @@
 
 
 class RankReports:
-    """Asks all ranks, and keeps what they hold and what requests want."""
+    """Queries all ranks; keeps the experts they hold and the demand."""
 
     def __init__(
         self,
@@ -85,17 +83,17 @@
         self._demand = demand.Demand()
         self._held_by_name: dict[str, Held] = {}
         self._group_by_name: dict[str, str] = {}
-        self._asked_at: dict[str, float] = {}
+        self._queried_at: dict[str, float] = {}
 
-    async def ask_all(self) -> dict[str, rank.Rank]:
-        """Ask the agents of the group; the ranks that answer are returned."""
-        told = self._of_group(await self._ask_by_turns())
-        for name, item in told.items():
+    async def query_all(self) -> dict[str, rank.Rank]:
+        """Query the group's agents; return the ranks that answered."""
+        reports = self._of_local_group(await self._query_in_batches())
+        for name, item in reports.items():
             if item.experts is not None:
                 self._held_by_name[name] = _held(item.rank, item.experts)
         counted = {
             name: item.counted
-            for name, item in told.items()
+            for name, item in reports.items()
             if item.counted is not None
         }
         self._demand = demand.observed(
@@ -104,70 +102,77 @@
             now=self._clock.monotonic(),
             half_life_s=HALF_LIFE_S,
         )
-        return {name: item.rank for name, item in told.items()}
+        return {name: item.rank for name, item in reports.items()}
 
-    async def _ask_by_turns(self) -> dict[str, rank_wire.RankReport]:
-        """Ask those whose answers are wanted, a few at a time.
+    async def _query_in_batches(self) -> dict[str, rank_wire.RankReport]:
+        """Query the ranks that are due, in batches.
 
-        Answers that come all at once wait for each other on a thin link, and
-        the last of them would make their agents seem silent.
+        On a slow link, answers that arrive all at once would delay each other
+        until some agents seem unresponsive.
         """
-        wanted = [
+        due = [
             (name, member)
             for name, member in self._members.by_name.items()
-            if self._is_wanted(name)
+            if self._is_due(name)
         ]
-        told = {}
-        for first in range(0, len(wanted), ASKED_AT_ONCE):
-            some = wanted[first : first + ASKED_AT_ONCE]
-            answers = await gather([self._ask(*row) for row in some])
-            told |= {n: item for n, item in answers if item is not None}
-        return told
-
-    def _is_wanted(self, name: str) -> bool:
-        """Tell whether a rank is of the group, or may be by now."""
-        if self._is_own(name):
+        reports = {}
+        for first in range(0, len(due), MAX_CONCURRENT_QUERIES):
+            batch = due[first : first + MAX_CONCURRENT_QUERIES]
+            answers = await gather([self._query(*row) for row in batch])
+            reports |= {n: item for n, item in answers if item is not None}
+        return reports
+
+    def _is_due(self, name: str) -> bool:
+        """Return whether to query a rank: of the local group, or overdue."""
+        if self._is_local_group(name):
             return True
         now = self._clock.monotonic()
-        if now - self._asked_at.get(name, float("-inf")) < RECHECK_S:
+        if (
+            now - self._queried_at.get(name, float("-inf"))
+            < REQUERY_INTERVAL_S
+        ):
             return False
-        self._asked_at[name] = now
+        self._queried_at[name] = now
         return True
 
-    def _is_own(self, name: str) -> bool:
+    def _is_local_group(self, name: str) -> bool:
         group = self._group_by_name.get(name)
         return self._members.one_group or group == self._members.group
 
-    def _of_group(
-        self, told: dict[str, rank_wire.RankReport]
+    def _of_local_group(
+        self, reports: dict[str, rank_wire.RankReport]
     ) -> dict[str, rank_wire.RankReport]:
-        """Note the group of each rank; return those of the own one."""
-        for name, item in told.items():
+        """Record the group of each rank; return those of the local group."""
+        for name, item in reports.items():
             self._group_by_name[name] = item.rank.group
-        for known in (self._group_by_name, self._asked_at):
-            for name in known.keys() - self._members.by_name.keys():
-                del known[name]
-        return {name: t for name, t in told.items() if self._is_own(name)}
+        for rows in (self._group_by_name, self._queried_at):
+            for name in rows.keys() - self._members.by_name.keys():
+                del rows[name]
+        return {
+            name: item
+            for name, item in reports.items()
+            if self._is_local_group(name)
+        }
 
-    async def _ask(
+    async def _query(
         self, name: str, member: reach.Member
     ) -> tuple[str, rank_wire.RankReport | None]:
         held = self._held_by_name.get(name)
-        if not self._is_own(name):
-            # Which group it is in says enough, in few bytes.
+        if not self._is_local_group(name):
+            # Only its group is needed.
             return name, await self._reach.report(
                 member, experts=False, counts=False
             )
-        told = await self._reach.report(member, experts=held is None)
-        if told and held and not self._is_held(name, told.rank):
-            # What it holds is asked for the next time.
+        report = await self._reach.report(member, experts=held is None)
+        if report and held and not self._is_current(name, report.rank):
+            # The next query requests its experts.
             del self._held_by_name[name]
-        return name, told
+        return name, report
 
     def record_in_use(
         self, by_name: Mapping[str, rank.Rank], wanted: relayout.Wanted
     ) -> None:
-        """Note what ranks hold once all of them use a layout."""
+        """Record the experts of ranks once all of them use a layout."""
         for name, item in by_name.items():
             experts = tuple(row[item.number] for row in wanted.table)
             self._held_by_name[name] = _held(item, experts)
@@ -177,13 +182,13 @@
         by_name: Mapping[str, rank.Rank],
         limits: base.EngineLimits | None,
     ) -> BetterLayout | None:
-        """Return a layout that is worth changing to, if there is one.
+        """Return a layout that is worth the change; None if there is none.
 
         Args:
           by_name: All ranks of the group.
-          limits: What its engine allows; None if that is not known.
+          limits: The limits of its engine; None while unknown.
         """
-        known = all(self._is_held(name, r) for name, r in by_name.items())
+        known = all(self._is_current(name, r) for name, r in by_name.items())
         if limits is None or not known:
             return None
         names = sorted(by_name, key=lambda name: by_name[name].number)
@@ -193,11 +198,11 @@
             for number in range(len(sets))
         ]
         solved = replicas.solve(
-            held, sets, bounds_of(limits), least_gain=LEAST_GAIN
+            held, sets, bounds_of(limits), least_gain=MIN_GAIN
         )
         before = sum(item.before for item in solved)
         after = sum(item.after for item in solved)
-        if not solved or after > before * (1 - LEAST_IMPROVEMENT):
+        if not solved or after > before * (1 - MIN_IMPROVEMENT):
             return None
         return BetterLayout(
             table=tuple(item.held for item in solved),
@@ -206,30 +211,30 @@
             loaded=sum(item.loaded for item in solved),
         )
 
-    def _is_held(self, name: str, item: rank.Rank) -> bool:
-        """Tell whether it is known what a rank holds now."""
+    def _is_current(self, name: str, item: rank.Rank) -> bool:
+        """Return whether the cached experts of a rank are up to date."""
         held = self._held_by_name.get(name)
         return held is not None and held == _held(item, held.experts)
 
 
 def bounds_of(limits: base.EngineLimits) -> replicas.Bounds:
-    """Return what one change may do, so that it takes no longer than wanted.
+    """Return the bounds of one change, which limit its loading time.
 
-    Every rank loads at least one expert, however long that takes.
+    Every rank may load at least one expert, however long that takes.
     """
     loads = None
     if limits.load_s:
-        loads = max(1, int(LOADING_S / limits.load_s))
+        loads = max(1, int(MAX_LOADING_S / limits.load_s))
     return replicas.Bounds(limits.places, limits.spare, loads)
 
 
 def _held(item: rank.Rank, experts: tuple[tuple[int, ...], ...]) -> Held:
-    """Return what a rank holds, as long as it stays as it is."""
+    """Return the experts of a rank with the state that they belong to."""
     return Held(item.epoch, item.version, experts, item.born_ms)
 
 
-async def gather(asked: list[Coroutine[Any, Any, Any]]) -> list[Any]:
-    """Wait for all of some coroutines that do not raise."""
+async def gather(coroutines: list[Coroutine[Any, Any, Any]]) -> list[Any]:
+    """Await all of some coroutines that do not raise."""
     return await defer.gatherResults(
-        [defer.ensureDeferred(item) for item in asked], consumeErrors=True
+        [defer.ensureDeferred(item) for item in coroutines], consumeErrors=True
     )
--- a/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
@@ -70,7 +70,7 @@
             clock=self._clock,
             roster=self._adapter.roster,
             target=settings.target,
-            own=own,
+            local=own,
         )
         self._group = self._make_group(
             reach.Reach(
--- a/packages/reelscale-daemon/src/reelscale_daemon/rank_wire.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/rank_wire.py
@@ -1,4 +1,4 @@
-"""What the agents of ranks tell each other, to and from thrift."""
+"""Converts the reports and orders of ranks to and from Thrift."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -11,13 +11,13 @@
 
 from . import packed
 
-# A message leaves these fields of a rank out while there is nothing to tell.
+# Fields of a rank that a message may omit.
 OPTIONAL = ("prepared", "armed", "held", "born_ms")
 REQUIRED = tuple(n for n in rank.Rank._fields if n not in OPTIONAL)
 
 
 def kind_of(order: type[rank.Order]) -> str:
-    """Return the word by which messages name a kind of order."""
+    """Return the name of a kind of order in messages."""
     return order.__name__.lower()
 
 
@@ -27,12 +27,12 @@
 
 
 class RankReport(NamedTuple):
-    """What an agent tells of its rank.
+    """An agent's report of its rank.
 
     Attributes:
-      rank: What the rank reports.
-      counted: Its counters, if they were asked for.
-      experts: What it holds, by set of layers, if that was asked for.
+      rank: The state of the rank.
+      counted: Its counters, if requested.
+      experts: The experts it holds, by set of layers, if requested.
     """
 
     rank: rank.Rank
@@ -40,49 +40,51 @@
     experts: tuple[tuple[int, ...], ...] | None = None
 
 
-def report_to_thrift(told: RankReport) -> ttypes.RankTold:
-    """Turn what an agent tells into a message."""
-    armed = told.rank.armed
-    fields = told.rank._asdict()
+def report_to_thrift(report: RankReport) -> ttypes.RankTold:
+    """Convert a report to a message."""
+    armed = report.rank.armed
+    fields = report.rank._asdict()
     del fields["armed"]
     return ttypes.RankTold(
         armed_version=armed.version if armed else None,
         armed_step=armed.step if armed else None,
-        counts=packed.counts(told.counted.counts) if told.counted else None,
-        experts=told.experts,
+        counts=packed.counts(report.counted.counts)
+        if report.counted
+        else None,
+        experts=report.experts,
         **fields,
     )
 
 
 def report_from_thrift(message: ttypes.RankTold) -> RankReport:
-    """Read what an agent tells; ValueError if a field is missing."""
+    """Parse a report; ValueError if a field is missing or invalid."""
     fields = {name: getattr(message, name) for name in REQUIRED}
     if None in fields.values():
         raise ValueError("a field of the rank is missing")
     armed = None
     if message.armed_version is not None and message.armed_step is not None:
         armed = rank.Armed(message.armed_version, message.armed_step)
-    found = rank.Rank(
+    state = rank.Rank(
         **fields,
         prepared=message.prepared,
         armed=armed,
         held=message.held,
         born_ms=message.born_ms,
     )
-    if not 0 <= found.number < found.size or min(found.epoch, found.step) < 0:
-        raise ValueError("a number of the rank makes no sense")
+    if not 0 <= state.number < state.size or min(state.epoch, state.step) < 0:
+        raise ValueError("a number of the rank is out of range")
     counted = None
     if message.counts is not None:
         counts = packed.read_counts(message.counts)
-        counted = demand.Counted(found.epoch, counts, found.born_ms)
+        counted = demand.Counted(state.epoch, counts, state.born_ms)
     experts = None
     if message.experts is not None:
         experts = tuple(tuple(row) for row in message.experts)
-    return RankReport(found, counted, experts)
+    return RankReport(state, counted, experts)
 
 
 def to_order(order: rank.Order, *, fence: int, epoch: int) -> ttypes.RankOrder:
-    """Turn an order into a message."""
+    """Convert an order to a message."""
     fields = order._asdict()
     table = fields.get("table")
     return ttypes.RankOrder(
@@ -96,7 +98,7 @@
 
 
 def from_order(message: ttypes.RankOrder) -> rank.Order:
-    """Read an order; ValueError if it is none."""
+    """Parse an order; ValueError if it is invalid."""
     kind = ORDERS_BY_KIND.get(message.kind)
     if kind is None:
         raise ValueError(f"unknown order {message.kind!r}")
@@ -110,7 +112,7 @@
 
 
 def outcome_of(answer: ttypes.RankAnswer) -> rank.Outcome:
-    """Read the outcome of an answer; unknown if it makes no sense."""
+    """Return the outcome of an answer; UNKNOWN if it is not valid."""
     try:
         return rank.Outcome(answer.outcome)
     except ValueError:
