--- a/features/steps/entry_groups_steps.py
+++ b/features/steps/entry_groups_steps.py
@@ -140,7 +140,7 @@
 
 def _known(made, name):
     """Return the groups that an entry has logged, by start."""
-    text = "The group of an upstream is known."
+    text = "Learned the group of an upstream."
     rows = [row for row in made.log_lines(name) if row["text"] == text]
     return {row["start"]: row["group"] for row in rows}
 
@@ -173,7 +173,7 @@
         name
         for name in made.http
         if any(
-            row["text"] == "Asks the agents for their groups."
+            row["text"] == "Querying agents for their groups."
             for row in made.log_lines(name)
         )
     ]
--- a/features/steps/loops_steps.py
+++ b/features/steps/loops_steps.py
@@ -22,7 +22,7 @@
 
 from features import holder_fakes, log_lines, platform_directory
 
-FAULT = "A loop had an error that nobody foresaw; it goes on."
+FAULT = "Unexpected error in a loop; it continues."
 
 
 class Work:
@@ -156,7 +156,7 @@
             following=False, group="g", record_local_rank=lambda _: None
         ),
     )
-    made._place = 0
+    made._candidate_index = 0
     made.start()
     return made.progress[1 if tell else 0]
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
@@ -100,7 +100,7 @@
             name="configuration",
             work=self._round,
             on_down=self._on_down,
-            going=lambda: not self._stopped,
+            is_running=lambda: not self._stopped,
         )
 
     def listen(self, listener: Callable[[states.State], None]) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
@@ -100,7 +100,7 @@
             name="list",
             work=self._round,
             on_down=self._on_down,
-            going=lambda: not self._stopped,
+            is_running=lambda: not self._stopped,
         )
 
     async def run(self) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/follower.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/follower.py
@@ -1,8 +1,7 @@
-"""Loops that go on whatever becomes of one round.
+"""Loops that continue after an unexpected error.
 
-What follows something (the list, the configuration, a group) must go on when
-a round ends in an error that nobody foresaw: a loop that ends serves on what
-it knew last for ever, and nothing tells.
+A loop that ended on such an error would leave its process serving stale data
+without any sign of it.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -19,77 +18,76 @@
 from .. import logs
 
 LOG = logs.Logger("loop")
-# The pause after an unforeseen error, in seconds; it doubles with each in a
-# row up to the most, so that one that has gone is over soon.
+# Pause after an unexpected error, in seconds; it doubles with each consecutive
+# error up to MAX_FAULT_PAUSE_S.
 FAULT_PAUSE_S = 0.25
-FAULT_PAUSE_MOST_S = 5.0
-# A loop in which nothing but unforeseen errors came for so long, in seconds,
-# makes its process not ready: those of others may still succeed, and some
-# rounds in a row are no chance.
+MAX_FAULT_PAUSE_S = 5.0
+# A loop that has had only unexpected errors for this long, in seconds, makes
+# its process not ready.
 STUCK_S = 10.0
-# A line tells the end of the traceback, in characters; it fits a log line.
-CAUSE_LENGTH = 1500
+# Characters of the traceback's end that are logged.
+MAX_TRACEBACK_LENGTH = 1500
 
 
 class Progress:
-    """How a loop gets on.
+    """The progress of a loop.
 
     Attributes:
-      name: What it follows, for logs and metrics.
-      faults: Rounds that ended in an unforeseen error, since the start.
+      name: Name of the loop in logs and metrics.
+      faults: Number of rounds that ended in an unexpected error.
     """
 
     def __init__(self, *, name: str, clock: clock.Clock) -> None:
         self.name = name
         self.faults = 0
         self._clock = clock
-        self._in_a_row = 0
+        self._consecutive_faults = 0
         self._faulty_since: float | None = None
         self._succeeded_at = clock.monotonic()
 
     @property
     def success_age_s(self) -> float:
-        """Return the seconds since a round succeeded, or since the start."""
+        """Return the seconds since the last success, or since the start."""
         return self._clock.monotonic() - self._succeeded_at
 
     @property
     def stuck(self) -> bool:
-        """Whether nothing but unforeseen errors came for too long."""
+        """Whether there were only unexpected errors for STUCK_S."""
         since = self._faulty_since
         return since is not None and self._clock.monotonic() - since > STUCK_S
 
-    def note_success(self) -> None:
-        """Note a round that did its work."""
+    def record_success(self) -> None:
+        """Record a successful round."""
         self._succeeded_at = self._clock.monotonic()
-        self.note_foreseen()
+        self.record_expected_failure()
 
-    def note_foreseen(self) -> None:
-        """Note a round that came to nothing for a reason that is foreseen."""
-        if self._in_a_row:
-            LOG.info("A loop works again.", loop=self.name, faults=self.faults)
-        self._in_a_row = 0
+    def record_expected_failure(self) -> None:
+        """Record a round that failed with an expected error."""
+        if self._consecutive_faults:
+            LOG.info("A loop recovered.", loop=self.name, faults=self.faults)
+        self._consecutive_faults = 0
         self._faulty_since = None
 
-    def note_fault(self, fault: failure.Failure) -> None:
-        """Note an unforeseen error, in a line for each power of two."""
+    def record_fault(self, fault: failure.Failure) -> None:
+        """Record an unexpected error; log it at each power of two in a row."""
         self.faults += 1
-        self._in_a_row += 1
+        self._consecutive_faults += 1
         if self._faulty_since is None:
             self._faulty_since = self._clock.monotonic()
-        if self._in_a_row & (self._in_a_row - 1) == 0:
+        if self._consecutive_faults & (self._consecutive_faults - 1) == 0:
             LOG.error(
-                "A loop had an error that nobody foresaw; it goes on.",
+                "Unexpected error in a loop; it continues.",
                 loop=self.name,
-                in_a_row=self._in_a_row,
-                reason=fault.getTraceback()[-CAUSE_LENGTH:],
+                in_a_row=self._consecutive_faults,
+                reason=fault.getTraceback()[-MAX_TRACEBACK_LENGTH:],
             )
 
 
 class Follower:
-    """A loop whose rounds say themselves how long to wait.
+    """A loop whose rounds return the pause before the next one.
 
     Attributes:
-      progress: How it gets on.
+      progress: The progress of the loop.
     """
 
     def __init__(
@@ -100,80 +98,80 @@
         name: str,
         work: Callable[[], Awaitable[float]],
         on_down: Callable[[error.CodedError], Awaitable[float]],
-        going: Callable[[], bool],
+        is_running: Callable[[], bool],
     ) -> None:
-        """Make it; run() does the work.
+        """Create the loop; run() starts it.
 
         Args:
-          reactor: The loop of the process.
+          reactor: The Twisted reactor.
           clock: The time.
-          name: What it follows.
-          work: Does one round; returns the seconds until the next.
-          on_down: Told of an error that is foreseen; returns the same.
-          going: Whether there is to be another round.
+          name: Name of the loop in logs and metrics.
+          work: Runs one round; returns the seconds until the next.
+          on_down: Handles an expected error; returns the same.
+          is_running: Returns whether to run another round.
         """
         self.progress = Progress(name=name, clock=clock)
         self._reactor = reactor
         self._work = work
         self._on_down = on_down
-        self._going = going
+        self._is_running = is_running
         self._pause_s = FAULT_PAUSE_S
         self._waiting: defer.Deferred | None = None
 
     async def run(self) -> None:
-        """Do rounds while there are to be any."""
-        while self._going():
+        """Run rounds while is_running() returns true."""
+        while self._is_running():
             await self._pause(await self._round())
 
     def wake(self) -> None:
-        """Begin the next round now, if it is being waited for."""
+        """Begin the next round now instead of at the end of the pause."""
         if self._waiting is not None:
             self._waiting.cancel()
 
     async def _round(self) -> float:
-        """Do one round; return the seconds until the next."""
+        """Run one round; return the seconds until the next."""
         try:
-            pause_s = await self._foreseen()
+            pause_s = await self._work_or_handle_down()
         except Exception:
-            # Whatever it is, the loop must go on.
-            self.progress.note_fault(failure.Failure())
+            # The loop must continue after any error.
+            self.progress.record_fault(failure.Failure())
             return self._fault_pause_s()
         self._pause_s = FAULT_PAUSE_S
         return pause_s
 
-    async def _foreseen(self) -> float:
-        """Do one round, which may fail in a way that is foreseen."""
+    async def _work_or_handle_down(self) -> float:
+        """Run one round; handle an expected error."""
         try:
             pause_s = await self._work()
         except error.CodedError as down:
             pause_s = await self._on_down(down)
-            self.progress.note_foreseen()
+            self.progress.record_expected_failure()
             return pause_s
-        self.progress.note_success()
+        self.progress.record_success()
         return pause_s
 
     def _fault_pause_s(self) -> float:
-        """Return the pause after an unforeseen error; it grows."""
+        """Return the pause after an unexpected error; it grows."""
         pause_s = self._pause_s * (1 + random.random())
-        self._pause_s = min(2 * self._pause_s, FAULT_PAUSE_MOST_S)
+        self._pause_s = min(2 * self._pause_s, MAX_FAULT_PAUSE_S)
         return pause_s
 
     async def _pause(self, pause_s: float) -> None:
-        """Wait for a while, or until woken."""
+        """Wait for the pause, or until woken."""
         self._waiting = task.deferLater(self._reactor, pause_s)
         try:
             await self._waiting
         except defer.CancelledError:
-            # It was woken: there is something to do now.
+            # wake() ends the pause early.
             pass
         self._waiting = None
 
 
 class Timer:
-    """A function that is called at a steady pace; its errors end no calls.
+    """Calls a function at a fixed interval, also after errors.
 
     Attributes:
-      progress: How it gets on.
+      progress: The progress of the calls.
     """
 
     def __init__(
@@ -190,18 +188,20 @@
         self._loop.clock = reactor
 
     def start(self, every_s: float) -> None:
-        """Call it now and every so many seconds."""
+        """Call the function now and every `every_s` seconds."""
         self._loop.start(every_s)
 
     def stop(self) -> None:
-        """Call it no longer."""
+        """Stop calling the function."""
         if self._loop.running:
             self._loop.stop()
 
     def _call(self) -> defer.Deferred:
-        """Call the function; wait for its work if it gives any to wait for."""
+        """Call the function; await its result if it is asynchronous."""
         done = defer.maybeDeferred(self._function)
-        return done.addCallbacks(self._note_success, self.progress.note_fault)
+        return done.addCallbacks(
+            self._record_success, self.progress.record_fault
+        )
 
-    def _note_success(self, _: Any) -> None:
-        self.progress.note_success()
+    def _record_success(self, _: Any) -> None:
+        self.progress.record_success()
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
@@ -107,7 +107,7 @@
             name="group",
             work=self._round,
             on_down=self._on_down,
-            going=lambda: not self._stopped or self._must_finish(),
+            is_running=lambda: not self._stopped or self._must_finish(),
         )
 
     async def run(self) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
@@ -1,9 +1,9 @@
-"""Which group of ranks each upstream is in, as an entry learns it.
+"""Maps upstreams to their groups of ranks, as an entry discovers them.
 
-A target may have several groups; each steps by itself, so one may be slow or
-out while the others are not.  The agent beside a rank knows its group.  One
-entry asks all agents, and the others ask each other, so that what agents on
-thin links answer does not grow with the number of entries.
+A target may have several groups, which run independently, so one may be slow
+or down while the others are not.  The agent beside a rank knows its group.
+One entry queries all agents and the other entries query each other, so that
+the load on agents does not grow with the number of entries.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -22,15 +22,14 @@
 from . import follower, rank_reports
 
 LOG = logs.Logger("groups")
-# Seconds between two rounds while a group is not known, and while all are.
-UNKNOWN_EVERY_S = 1.0
-KNOWN_EVERY_S = 8.0
-# Rounds in which other entries could not tell, after which agents are asked.
-ROUNDS_WITHOUT = 3
-# An agent or a peer that lives answers within some ms.
+# Interval between rounds, in seconds, while a group is unknown and while none
+# is.
+UNKNOWN_INTERVAL_S = 1.0
+KNOWN_INTERVAL_S = 8.0
+# Rounds with incomplete answers of other entries before agents are queried.
+MAX_INCOMPLETE_ROUNDS = 3
 TIMEOUT_S = 0.5
-# Agents asked at a time.
-ASKED_AT_ONCE = 12
+MAX_CONCURRENT_QUERIES = 12
 
 
 class Groups:
@@ -47,17 +46,17 @@
         place: Callable[[], int],
         peers: Callable[[], Iterable[str]],
     ) -> None:
-        """Make it; run() learns.
+        """Create the map; run() fills it.
 
         Args:
-          reactor: The loop.
+          reactor: The Twisted reactor.
           clock: The time.
           links: Connections to agents and other entries.
-          ranks: Gives the upstreams that are ranks of groups.
-          agent_port: Port of the agent on the box of an upstream; 0 if there
-            are none, and then each target counts as one group.
-          place: Gives the place of this entry among all.
-          peers: Gives addresses of other entries.
+          ranks: Returns the upstreams that are ranks of groups.
+          agent_port: Port of the agent on an upstream's box; 0 if there are
+            no agents, so that each target counts as one group.
+          place: Returns the position of this entry among all entries.
+          peers: Returns the addresses of other entries.
         """
         self._reactor = reactor
         self._links = links
@@ -66,7 +65,7 @@
         self._place = place
         self._peers = peers
         self._group_by_start: dict[int, str] = {}
-        self._without = 0
+        self._incomplete_rounds = 0
         self._stopped = False
         self._follower = follower.Follower(
             reactor=reactor,
@@ -74,29 +73,29 @@
             name="groups",
             work=self._round,
             on_down=self._on_down,
-            going=lambda: not self._stopped,
+            is_running=lambda: not self._stopped,
         )
 
     async def run(self) -> None:
-        """Learn until stopped."""
+        """Discover groups until stopped."""
         if not self._agent_port:
             return
-        # By then entries that start together have heard each other, and only
-        # the first of them asks the agents.
-        await task.deferLater(self._reactor, UNKNOWN_EVERY_S)
+        # Entries that start together discover each other first, so that only
+        # one of them queries the agents.
+        await task.deferLater(self._reactor, UNKNOWN_INTERVAL_S)
         await self._follower.run()
 
     def stop(self) -> None:
-        """Learn no more."""
+        """Stop the discovery."""
         self._stopped = True
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the learning gets on."""
+        """Return the progress of the discovery."""
         return self._follower.progress
 
     def of(self, start: str) -> str:
-        """Return the group of a start, "" while it is not known."""
+        """Return the group of a start, "" while unknown."""
         return self._group_by_start.get(short_hash.of(start), "")
 
     def answer(self) -> ttypes.GroupReply:
@@ -107,73 +106,77 @@
         )
 
     async def _round(self) -> float:
-        """Ask once; return the seconds until the next round."""
+        """Run one round; return the seconds until the next."""
         ranks = {short_hash.of(r.start.key): r for r in self._ranks()}
         for number in self._group_by_start.keys() - ranks.keys():
             del self._group_by_start[number]
         if self._place() == 0:
-            await self._ask_agents(ranks)
+            await self._query_agents(ranks)
         else:
-            await self._ask_peer(ranks.keys())
+            await self._query_peer(ranks.keys())
             missing = ranks.keys() - self._group_by_start.keys()
-            self._without = self._without + 1 if missing else 0
-            if self._without >= ROUNDS_WITHOUT:
-                await self._ask_agents({n: ranks[n] for n in missing})
+            self._incomplete_rounds = (
+                self._incomplete_rounds + 1 if missing else 0
+            )
+            if self._incomplete_rounds >= MAX_INCOMPLETE_ROUNDS:
+                await self._query_agents({n: ranks[n] for n in missing})
         known = ranks.keys() <= self._group_by_start.keys()
-        pause_s = KNOWN_EVERY_S if known else UNKNOWN_EVERY_S
+        pause_s = KNOWN_INTERVAL_S if known else UNKNOWN_INTERVAL_S
         return pause_s * (0.75 + random.random() / 2)
 
     async def _on_down(self, _down: error.CodedError) -> float:
-        """Go on; nothing here asks the log."""
-        return UNKNOWN_EVERY_S
+        """Return the pause; no call of a round raises this error."""
+        return UNKNOWN_INTERVAL_S
 
-    async def _ask_agents(
+    async def _query_agents(
         self, ranks: dict[int, announcement.Announcement]
     ) -> None:
-        """Ask the agents beside some ranks."""
+        """Query the agents beside some ranks."""
         if not ranks:
             return
-        LOG.info("Asks the agents for their groups.", ranks=len(ranks))
+        LOG.info("Querying agents for their groups.", ranks=len(ranks))
         rows = list(ranks.items())
-        for first in range(0, len(rows), ASKED_AT_ONCE):
-            some = rows[first : first + ASKED_AT_ONCE]
-            await rank_reports.gather([self._ask(*row) for row in some])
+        for first in range(0, len(rows), MAX_CONCURRENT_QUERIES):
+            batch = rows[first : first + MAX_CONCURRENT_QUERIES]
+            await rank_reports.gather([self._query(*row) for row in batch])
 
-    async def _ask(self, number: int, rank: announcement.Announcement) -> None:
+    async def _query(
+        self, number: int, rank: announcement.Announcement
+    ) -> None:
         host = rank.address.rpartition(":")[0]
         query = ttypes.RankQuery(counts=False, experts=False)
         try:
-            told = await self._links.to(f"{host}:{self._agent_port}").call(
+            report = await self._links.to(f"{host}:{self._agent_port}").call(
                 "rank", query, timeout_s=TIMEOUT_S
             )
         except link.LinkError:
-            # The next round asks again; until then its group stays as known.
+            # Its group stays as known until a later round.
             return
-        if told.group:
-            self._learn(number, told.group)
+        if report.group:
+            self._record(number, report.group)
 
-    async def _ask_peer(self, wanted: Iterable[int]) -> None:
-        """Ask one other entry what it knows."""
+    async def _query_peer(self, wanted: Iterable[int]) -> None:
+        """Query one other entry for the groups that it knows."""
         peers = sorted(self._peers())
         if not peers:
             return
         try:
-            told = await self._links.to(random.choice(peers)).call(
+            reply = await self._links.to(random.choice(peers)).call(
                 "groups", ttypes.GroupQuery(), timeout_s=TIMEOUT_S
             )
         except link.LinkError:
             return
         wanted = set(wanted)
-        for row in told.groups or ():
+        for row in reply.groups or ():
             if row.start in wanted and row.group:
-                self._learn(row.start, row.group)
+                self._record(row.start, row.group)
 
-    def _learn(self, number: int, group: str) -> None:
+    def _record(self, number: int, group: str) -> None:
         old = self._group_by_start.get(number)
         self._group_by_start[number] = group
         if old != group:
             LOG.info(
-                "The group of an upstream is known.",
+                "Learned the group of an upstream.",
                 start=number,
                 group=group,
                 before=old,
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/lease_keeper.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/lease_keeper.py
@@ -1,10 +1,9 @@
-"""Holds the lease of a group, or finishes the change of one that has gone.
+"""Holds the lease of a group, or completes the change of a departed holder.
 
-The lease says who is to look after the group; the fence, drawn from the log
-anew each time, is what ranks go by.  A holder that stops working in the
-middle of a change may leave the group held, long before its lease lapses: an
-agent that sees its rank stand still draws a fence and brings the change to
-its end.
+The lease decides which agent manages the group; ranks check only the fence,
+which is drawn from the log each time.  A holder that stops in the middle of a
+change may leave the group held long before its lease expires: an agent whose
+rank is stalled then draws a fence and completes the change.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -21,26 +20,26 @@
 from . import follower, group, local_rank, members
 
 LOG = logs.Logger("lease")
-# Agents of a group that ask for its lease: enough that one is left when a
-# hall and some boxes are gone, few enough that they cost the log little.
+# Agents of a group that request its lease: enough to survive the loss of a
+# hall and some boxes, few enough to put little load on the log.
 CANDIDATES = 4
-# Seconds between two renewals of the lease, a third of its time.
+# Interval between renewals of the lease, in seconds: a third of its duration.
 RENEW_S = 0.5
-# Seconds between two looks at the own rank; it is asked on its own box.
-WATCH_S = 0.15
-# The same for an agent that does not ask for the lease; its rank's number
-# changes only when the group forms anew.
+# Interval between polls of the local rank, in seconds.
+POLL_S = 0.15
+# The same for an agent that is no candidate; its rank's number changes only
+# when the group forms anew.
 NON_CANDIDATE_POLL_S = 2.0
-# A rank that stands still in a change for so long, in seconds, waits for a
-# holder that has gone: a step takes 0.1 s, a whole change some 0.05 s more.
-STUCK_S = 0.5
-# Each further candidate waits so much longer, in seconds: by then the one
-# before has finished the change, in some 0.5 s where a machine is silent.
-STUCK_EACH_S = 0.7
+# A rank that stays in one step of a change for this long, in seconds, waits
+# for a holder that has departed; a step takes about 0.1 s.
+STALL_TIMEOUT_S = 0.5
+# Added for each further candidate, in seconds, so that the previous one can
+# complete the change first.
+STALL_TIMEOUT_STEP_S = 0.7
 
 
 class LeaseKeeper:
-    """Keeps one agent's part in who looks after its group."""
+    """Requests the lease of the agent's group and watches the local rank."""
 
     def __init__(
         self,
@@ -61,61 +60,66 @@
         self._group = group
         self._members = members
         self._held = False
-        self._place: int | None = None
-        self._seen: rank.Rank | None = None
-        self._seen_at = 0.0
+        self._candidate_index: int | None = None
+        self._last_state: rank.Rank | None = None
+        self._unchanged_since = 0.0
         self._stopped = False
-        # A call at the lease; the next waits for its answer.
+        # Serialises calls to the lease.
         self._calling = defer.DeferredLock()
         self._loops = [
             self._loop("lease", RENEW_S, self._renew),
-            self._loop("own rank", WATCH_S, self._watch),
+            self._loop("own rank", POLL_S, self._poll),
         ]
 
     def start(self) -> None:
-        """Ask for the lease and watch the own rank from now on."""
+        """Start to request the lease and to poll the local rank."""
         for loop in self._loops:
             defer.ensureDeferred(loop.run())
 
     @property
     def progress(self) -> list[follower.Progress]:
-        """Return how its loops get on."""
+        """Return the progress of the loops."""
         return [loop.progress for loop in self._loops]
 
     async def stop(self) -> None:
-        """Give the lease up, so that another agent goes on.
+        """Release the lease, so that another agent can take it.
 
-        A renewal on its way is waited for, until it is answered or lost:
-        one that is carried out after the leave would take the lease again.
+        Waits for a renewal in progress: if it were carried out after the
+        release, it would take the lease again.
         """
         self._stopped = True
         try:
             async with self._calling:
-                # One whose first renewal has no answer yet may be held, too.
-                await (await self._own_lease()).leave()
+                # Even without an answer to the first renewal it may be held.
+                await (await self._group_lease()).leave()
         except error.CodedError as down:
-            LOG.warning("The lease is left to lapse.", reason=down.detail)
+            LOG.warning(
+                "Could not release the lease; it will expire.",
+                reason=down.detail,
+            )
 
     def _loop(
         self, name: str, pause_s: float, work: Callable[[], Awaitable[None]]
     ) -> follower.Follower:
-        """Return a loop that does some work now and then until stopped."""
+        """Return a loop that repeats some work until stopped."""
         failing = ""
 
         def pause(*, often: bool) -> float:
-            # Those that are no candidates only see whether they become one.
+            # An agent that is no candidate only checks whether it becomes one.
             return pause_s if often else NON_CANDIDATE_POLL_S
 
         async def once() -> float:
             nonlocal failing
             await work()
             failing = ""
-            return pause(often=self._place is not None)
+            return pause(often=self._candidate_index is not None)
 
         async def on_down(lost: error.CodedError) -> float:
             nonlocal failing
             if lost.code != failing:
-                LOG.warning("Cannot go on for now.", reason=lost.detail)
+                LOG.warning(
+                    "A round of the lease keeper failed.", reason=lost.detail
+                )
             failing = lost.code
             return pause(often=True)
 
@@ -125,21 +129,21 @@
             name=name,
             work=once,
             on_down=on_down,
-            going=lambda: not self._stopped,
+            is_running=lambda: not self._stopped,
         )
 
     async def _renew(self) -> None:
-        """Ask for the lease, or keep it.
+        """Request or renew the lease.
 
-        One that cannot reach the log goes on as it was: the fence, not the
-        time, keeps holders apart.
+        A holder that cannot reach the log continues: the fence, not the
+        lease's expiry, excludes a second holder.
         """
-        if self._place is None:
+        if self._candidate_index is None:
             return
-        lease = await self._own_lease()
+        lease = await self._group_lease()
         await self._group.learn_limits()
         async with self._calling:
-            # The stop may have come while the limits were asked for.
+            # stop() may have been called while the limits were read.
             if self._stopped:
                 return
             held = await lease.renew()
@@ -153,55 +157,59 @@
         elif not self._group.holds:
             self._group.acquire(await lease.draw_fence())
 
-    async def _own_lease(self) -> base.Lease:
-        """Return the lease on the own group; one on another is left."""
+    async def _group_lease(self) -> base.Lease:
+        """Return the lease of the local group; release that of another."""
         group = self._members.group
         if self._lease is None or group != self._lease_group:
             old, self._lease = self._lease, self._lease_on(group)
             self._lease_group = group
             if old is not None:
-                LOG.info("The rank is in another group.", group=group)
+                LOG.info("The rank moved to another group.", group=group)
                 await old.leave()
         return self._lease
 
-    async def _watch(self) -> None:
-        """Look at the own rank; finish a change that stands still."""
-        found = (
+    async def _poll(self) -> None:
+        """Poll the local rank; complete a change that is stalled."""
+        state = (
             await self._local_rank.report(counts=False, experts=False)
         ).rank
-        self._members.record_local_rank(found)
-        each = max(1, found.size // CANDIDATES)
-        candidate = found.number % each == 0
-        self._place = found.number // each if candidate else None
-        # One that may hold the lease is to know the others by then: the list
-        # may be out of reach just when the lease falls to it.
+        self._members.record_local_rank(state)
+        spacing = max(1, state.size // CANDIDATES)
+        candidate = state.number % spacing == 0
+        self._candidate_index = state.number // spacing if candidate else None
+        # A candidate needs the members before it gets the lease, as the list
+        # may be unavailable then.
         self._members.following = candidate
         now = self._clock.monotonic()
-        if self._seen is None or not _stands_still(self._seen, found):
-            self._seen, self._seen_at = found, now
+        if self._last_state is None or not _is_stalled(
+            self._last_state, state
+        ):
+            self._last_state, self._unchanged_since = state, now
             return
-        stuck_s = STUCK_S + STUCK_EACH_S * (self._place or 0)
-        if candidate and now - self._seen_at >= stuck_s:
-            self._seen = None
-            await self._finish(found)
+        stuck_s = STALL_TIMEOUT_S + STALL_TIMEOUT_STEP_S * (
+            self._candidate_index or 0
+        )
+        if candidate and now - self._unchanged_since >= stuck_s:
+            self._last_state = None
+            await self._finish_change(state)
 
-    async def _finish(self, found: rank.Rank) -> None:
-        """Finish the change of a holder that has gone."""
+    async def _finish_change(self, state: rank.Rank) -> None:
+        """Complete the change of a holder that has departed."""
         if self._group.holds:
             return
-        fence = await (await self._own_lease()).draw_fence()
+        fence = await (await self._group_lease()).draw_fence()
         LOG.info(
-            "Finishes a change that stands still.",
+            "Completing a stalled change.",
             fence=fence,
-            epoch=found.epoch,
-            step=found.step,
-            prepared=found.prepared,
+            epoch=state.epoch,
+            step=state.step,
+            prepared=state.prepared,
         )
         self._group.acquire(fence, finish_only=True)
 
 
-def _stands_still(before: rank.Rank, now: rank.Rank) -> bool:
-    """Tell whether a rank is in the same step of the same change."""
+def _is_stalled(before: rank.Rank, now: rank.Rank) -> bool:
+    """Return whether a rank is in the same step of the same change."""
     changing = now.prepared is not None or now.held is not None
     return (
         changing
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/local_rank.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/local_rank.py
@@ -1,7 +1,7 @@
-"""The rank beside this agent: what it tells others, the orders it passes on.
+"""Serves the rank on this agent's box to other agents.
 
-Asked from its own box a rank answers at once and for nothing, so agents
-ask their own rank and each other, never another's rank.
+A rank answers its own box quickly and at low cost, so agents query their
+local rank and each other instead of remote ranks.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -17,7 +17,7 @@
 
 
 class LocalRank:
-    """Answers other agents for the rank beside this one."""
+    """Reports the local rank to other agents and passes orders on to it."""
 
     def __init__(self, *, port: base.RankPort) -> None:
         self._port = port
@@ -26,7 +26,7 @@
     async def report(
         self, *, counts: bool, experts: bool
     ) -> rank_wire.RankReport:
-        """Return what the rank reports; CodedError "rank-lost"."""
+        """Return the rank's report; CodedError "rank-lost"."""
         report = await self._port.report()
         counted = await self._port.counted() if counts else None
         held = await self._port.experts() if experts else None
@@ -36,40 +36,40 @@
                 step="rank",
                 peer="worker",
                 status=503,
-                detail="it started again between two answers",
+                detail="the rank restarted between two answers",
             )
         return rank_wire.RankReport(report, counted, held)
 
     async def answer(self, query: ttypes.RankQuery) -> ttypes.RankTold:
-        """Answer another agent; with nothing if the rank does not answer."""
+        """Answer another agent; the answer is empty if the rank is lost."""
         try:
-            told = await self.report(
+            report = await self.report(
                 counts=bool(query.counts), experts=bool(query.experts)
             )
         except error.CodedError as lost:
-            self._note_lost(lost)
+            self._record_lost(lost)
             return ttypes.RankTold()
-        self._note_heard()
-        return rank_wire.report_to_thrift(told)
+        self._record_answer()
+        return rank_wire.report_to_thrift(report)
 
-    def _note_lost(self, lost: error.CodedError) -> None:
+    def _record_lost(self, lost: error.CodedError) -> None:
         if not self._lost:
             LOG.warning("The rank does not answer.", reason=lost.detail)
         self._lost = True
 
-    def _note_heard(self) -> None:
+    def _record_answer(self) -> None:
         if self._lost:
             LOG.info("The rank answers again.")
         self._lost = False
 
     async def order(self, message: ttypes.RankOrder) -> ttypes.RankAnswer:
-        """Pass an order of the holder on; tell the rank's state after it."""
+        """Pass on an order of the holder; return its outcome and the state."""
         order = rank_wire.from_order(message)
         outcome = await self._port.order(
             order, fence=message.fence, epoch=message.epoch
         )
         LOG.info(
-            "An order was passed on.",
+            "Passed on an order.",
             order=message.kind,
             fence=message.fence,
             epoch=message.epoch,
@@ -78,14 +78,14 @@
             outcome=outcome.name.lower(),
         )
         return ttypes.RankAnswer(
-            outcome=int(outcome), rank=await self._told_now()
+            outcome=int(outcome), rank=await self._current_state()
         )
 
-    async def _told_now(self) -> ttypes.RankTold | None:
+    async def _current_state(self) -> ttypes.RankTold | None:
         """Return the rank's state; None if it does not answer."""
         try:
-            told = await self.report(counts=False, experts=False)
+            report = await self.report(counts=False, experts=False)
         except error.CodedError as lost:
-            self._note_lost(lost)
+            self._record_lost(lost)
             return None
-        return rank_wire.report_to_thrift(told)
+        return rank_wire.report_to_thrift(report)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/members.py
@@ -72,7 +72,7 @@
             name="members",
             work=self._round,
             on_down=self._on_down,
-            going=lambda: not self._stopped,
+            is_running=lambda: not self._stopped,
         )
 
     async def run(self) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
@@ -1,8 +1,7 @@
-"""Reaches the ranks of a group, as a rule through the agents beside them.
+"""Queries and orders the ranks of a group, through their agents if possible.
 
-Asked from another box a rank is slower and costs more; that is done only
-while its agent is silent, so that a change can be brought to its end whoever
-has gone.
+Calling a rank from another box is slower and costs more.  It is done only
+while its agent is unresponsive, so that a change can still be completed.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -20,15 +19,13 @@
 from ..adapters import base
 
 LOG = logs.Logger("reach")
-# An agent that has not answered after this long, in seconds, connecting
-# included, is silent; the way there and back takes 3 ms, and the rank is
-# given 0.06 s.
+# An agent that does not answer within this time, including the connection
+# setup, counts as unresponsive.
 TIMEOUT_S = 0.25
-# A silent agent is asked again this often, in seconds.
-AGAIN_S = 0.5
-# What a rank reports to another box is some hundred milliseconds old
-# (0.2 s where it was measured).  So it is asked this long, in seconds, after
-# the question came up, and its answer is true of some time in between.
+# Interval between queries of an unresponsive agent, in seconds.
+REQUERY_INTERVAL_S = 0.5
+# Reports to other boxes may be some hundred milliseconds old.  Delaying the
+# query by this time ensures that the answer is no older than the request.
 REPORT_LAG_S = 0.3
 
 
@@ -36,8 +33,8 @@
     """One rank of the group.
 
     Attributes:
-      agent: Address of the agent beside it.
-      upstream: Its own address.
+      agent: Address of the agent on its box.
+      upstream: Address of the rank itself.
     """
 
     agent: str
@@ -45,7 +42,7 @@
 
 
 class Reach:
-    """Asks ranks and gives them orders."""
+    """Sends queries and orders to ranks."""
 
     def __init__(
         self,
@@ -55,146 +52,149 @@
         links: link.Links,
         port_to: Callable[[str], base.RankPort],
     ) -> None:
-        """Make it.
+        """Create the client.
 
         Args:
-          reactor: The loop.
+          reactor: The Twisted reactor.
           clock: The time.
           links: Connections to agents.
-          port_to: Gives the rank at an address, which may be far.
+          port_to: Returns the port to the rank at an address, which may be
+            on another box.
         """
         self._reactor = reactor
         self._clock = clock
         self._links = links
         self._port_to = port_to
-        self._silent: set[str] = set()
-        self._tried_at: dict[str, float] = {}
+        self._unresponsive: set[str] = set()
+        self._queried_at: dict[str, float] = {}
 
     async def report(
         self, member: Member, *, experts: bool, counts: bool = True
     ) -> rank_wire.RankReport | None:
-        """Return what a rank reports, with its counters; None if nothing.
+        """Return the report of a rank; None if it does not answer.
 
         Args:
           member: The rank.
-          experts: Whether what it holds is wanted.
-          counts: Whether its counters are.
+          experts: Whether to include the experts that it holds.
+          counts: Whether to include its counters.
         """
         query = ttypes.RankQuery(counts=counts, experts=experts)
-        if not self._is_silent(member):
+        if not self._is_unresponsive(member):
             try:
                 answer = await self._call(member, "rank", query)
                 return rank_wire.report_from_thrift(answer)
             except ValueError:
-                # The agent cannot ask its rank either, and has logged why.
+                # The agent cannot reach its rank either, and has logged why.
                 return None
             except link.LinkError:
-                # Its silence has been logged; the rank may still answer.
+                # Logged by _call(); the rank itself may still answer.
                 pass
-        self._try_again(member, query)
-        return await self._tell_directly(member)
+        self._requery(member, query)
+        return await self._report_directly(member)
 
     async def order(
         self, member: Member, order: rank.Order, *, fence: int, epoch: int
     ) -> tuple[rank.Outcome, rank.Rank | None]:
-        """Give a rank an order; return its outcome and the rank after it."""
-        # A hold and its end go straight to the rank: if its agent gave them,
-        # an agent that then falls silent with its box would leave the
-        # group held by a rank that nobody reaches.
-        straight = isinstance(order, rank.Hold | rank.Go)
-        if straight or self._is_silent(member):
+        """Send an order; return its outcome and the rank's new state."""
+        # A hold and its end bypass the agent: if the agent passed on a hold
+        # and its box then became unreachable, nobody could release the group.
+        direct = isinstance(order, rank.Hold | rank.Go)
+        if direct or self._is_unresponsive(member):
             return await self._order_directly(
                 member, order, fence=fence, epoch=epoch
             )
         message = rank_wire.to_order(order, fence=fence, epoch=epoch)
         try:
             answer = await self._call(member, "order_rank", message)
-            told = (
+            state = (
                 answer.rank and rank_wire.report_from_thrift(answer.rank).rank
             )
         except (link.LinkError, ValueError) as lost:
             LOG.warning(
-                "An order has no answer.",
+                "No answer to an order.",
                 to=member.agent,
                 order=message.kind,
                 reason=str(lost),
             )
             return rank.Outcome.UNKNOWN, None
-        return rank_wire.outcome_of(answer), told
+        return rank_wire.outcome_of(answer), state
 
     async def _order_directly(
         self, member: Member, order: rank.Order, *, fence: int, epoch: int
     ) -> tuple[rank.Outcome, rank.Rank | None]:
-        """Give an order to a rank itself."""
+        """Send an order directly to a rank."""
         port = self._port_to(member.upstream)
         outcome = await port.order(order, fence=fence, epoch=epoch)
         LOG.info(
-            "An order went to a rank itself.",
+            "Sent an order directly to a rank.",
             to=member.upstream,
             order=rank_wire.kind_of(type(order)),
             outcome=outcome.name.lower(),
         )
-        return outcome, await self._told_by_agent(member)
+        return outcome, await self._report_via_agent(member)
 
-    async def _told_by_agent(self, member: Member) -> rank.Rank | None:
-        """Return a rank's state now; None if its agent is silent."""
-        if self._is_silent(member):
+    async def _report_via_agent(self, member: Member) -> rank.Rank | None:
+        """Return a rank's current state; None if its agent does not answer."""
+        if self._is_unresponsive(member):
             return None
         query = ttypes.RankQuery(counts=False, experts=False)
         try:
             answer = await self._call(member, "rank", query)
             return rank_wire.report_from_thrift(answer).rank
         except (link.LinkError, ValueError):
-            # Whoever sent the order asks all ranks again.
+            # The sender of the order then queries all ranks.
             return None
 
     async def _call(
         self, member: Member, method: str, message: object
     ) -> object:
-        """Call an agent; note whether it is silent."""
+        """Call an agent; record whether it responds."""
         to = self._links.to(member.agent)
         calling = defer.ensureDeferred(
             to.call(method, message, timeout_s=TIMEOUT_S)
         )
-        # Connecting to a box that is gone takes longer by itself.
+        # Also bounds the time to connect to a box that is gone.
         calling.addTimeout(TIMEOUT_S, self._reactor)
         try:
             answer = await calling
         except (link.LinkError, defer.TimeoutError) as lost:
-            if not self._is_silent(member):
-                LOG.warning("An agent is silent.", agent=member.agent)
-            self._silent.add(member.agent)
+            if not self._is_unresponsive(member):
+                LOG.warning("An agent does not respond.", agent=member.agent)
+            self._unresponsive.add(member.agent)
             raise link.LinkError(
                 peer=member.agent, step=method, written=True
             ) from lost
-        if self._is_silent(member):
-            self._silent.remove(member.agent)
-            LOG.info("An agent answers again.", agent=member.agent)
+        if self._is_unresponsive(member):
+            self._unresponsive.remove(member.agent)
+            LOG.info("An agent responds again.", agent=member.agent)
         return answer
 
-    def _is_silent(self, member: Member) -> bool:
-        return member.agent in self._silent
+    def _is_unresponsive(self, member: Member) -> bool:
+        return member.agent in self._unresponsive
 
-    def _try_again(self, member: Member, query: ttypes.RankQuery) -> None:
-        """Ask a silent agent now and then, without waiting for it."""
+    def _requery(self, member: Member, query: ttypes.RankQuery) -> None:
+        """Query an unresponsive agent now and then, without waiting."""
         now = self._clock.monotonic()
-        if now - self._tried_at.get(member.agent, float("-inf")) < AGAIN_S:
+        if (
+            now - self._queried_at.get(member.agent, float("-inf"))
+            < REQUERY_INTERVAL_S
+        ):
             return
-        self._tried_at[member.agent] = now
-        asked = defer.ensureDeferred(self._call(member, "rank", query))
-        # It stays silent then, which has been logged.
-        asked.addErrback(lambda failed: failed.trap(link.LinkError))
+        self._queried_at[member.agent] = now
+        calling = defer.ensureDeferred(self._call(member, "rank", query))
+        # _call() has logged that it is still unresponsive.
+        calling.addErrback(lambda failed: failed.trap(link.LinkError))
 
-    async def _tell_directly(
+    async def _report_directly(
         self, member: Member
     ) -> rank_wire.RankReport | None:
-        """Ask a rank itself, so that its answer is no older than the call."""
+        """Query a rank directly; the report is no older than this call."""
         port = self._port_to(member.upstream)
         try:
-            # One that is gone does not answer now either.
+            # Fails early if the rank is not reachable.
             await port.report()
             await task.deferLater(self._reactor, REPORT_LAG_S)
-            found = await port.report()
+            state = await port.report()
         except error.CodedError:
             return None
-        return rank_wire.RankReport(found)
+        return rank_wire.RankReport(state)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
@@ -1,8 +1,4 @@
-"""What limits the work for each target, as an entry learns it.
-
-That is how soon answers are wanted, how long they take, and what pace the
-streams keep.
-"""
+"""Tracks per-target limits: queue goal, answer time and pace of streams."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,12 +6,12 @@
 from reelscale_core import clock, pace, waiting
 from reelscale_core import state as states
 
-# Weight of the newest in the smoothed time that a request takes.
+# Weight of the newest value in the moving average of the answer time.
 SMOOTHING = 0.1
 
 
 class Targets:
-    """Keeps what is known of all targets."""
+    """Keeps the measurements and goals of all targets."""
 
     def __init__(self, *, clock: clock.Clock) -> None:
         self._clock = clock
@@ -25,7 +21,7 @@
         self._pace_by_group: dict[tuple[str, str], pace.Pace] = {}
 
     def follow(self, state: states.State) -> None:
-        """Take from the configuration how soon answers are wanted."""
+        """Apply the goals and engine settings of a configuration."""
         self._goal_s = {}
         self._fixed_s = {
             item.name: item.engine.fixed_s
@@ -37,7 +33,7 @@
                 self._goal_s[share.target] = min(goal_s, item.goal_s)
 
     def record_duration(self, target: str, seconds: float) -> None:
-        """Take how long an upstream took for a whole answer."""
+        """Record the time that an upstream took for a complete answer."""
         old = self._takes_s.get(target, seconds)
         self._takes_s[target] = old + SMOOTHING * (seconds - old)
 
@@ -50,14 +46,14 @@
         longest_s: float,
         used: float,
     ) -> None:
-        """Take the pause between two events of a stream.
+        """Record the pause between two events of a stream.
 
         Args:
-          target: Of the stream.
-          group: The group of its rank, "" if that is not known.
+          target: The stream's target.
+          group: The group of its rank, "" if unknown.
           pause_s: The pause, in seconds.
-          longest_s: The longest that its route allows.
-          used: Part of the slots in use.
+          longest_s: The longest pause that its route allows, in seconds.
+          used: Fraction of the slots in use.
         """
         self._pace_by_group[target, group] = pace.observed(
             self._pace(target, group),
@@ -77,11 +73,11 @@
         )
 
     def limit(self, target: str, group: str) -> float:
-        """Return the part of the slots in which streams keep their pace."""
+        """Return the fraction of slots with which streams keep their pace."""
         return self._pace(target, group).limit
 
     def has_ranks(self, target: str) -> bool:
-        """Tell whether the upstreams of a target are ranks of groups."""
+        """Return whether the upstreams of a target are ranks of groups."""
         return self._fixed_s.get(target, 0.0) > 0
 
     def _pace(self, target: str, group: str) -> pace.Pace:
