--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -21,8 +21,8 @@
     change,
     fold,
     gate,
+    idempotency,
     model,
-    once,
     record,
     routing,
     snapshot,
@@ -200,8 +200,8 @@
     return record.PlanRecord(id="one", base=1, changes=(item,))
 
 
-def _keys(count: int) -> once.Table:
-    table = once.Table(name="u", since=0.0)
+def _keys(count: int) -> idempotency.Table:
+    table = idempotency.Table(name="u", since=0.0)
     rows = (states.Membership(1, ("u",)),)
     for number in range(count):
         value = (10_000_000 << 80) | (7 << 76) | (2 << 62) | number
--- a/features/models/oncekeys.py
+++ b/features/models/oncekeys.py
@@ -1,6 +1,6 @@
-"""Callers that repeat keys, while homes move, lag, restart and are cut.
+"""Model of repeated idempotency keys while their owners change and restart.
 
-The ledger counts the runs of each key; more than one is the fault.
+Guards against a key that runs twice: the world counts the runs of each key.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -9,16 +9,16 @@
 import uuid
 from typing import NamedTuple
 
-from reelscale_core import once
+from reelscale_core import idempotency
 from reelscale_core.state import Membership
 
 from .chooser import Chooser
 
 NAMES = ("u0", "u1", "u2", "u3")
-# Clocks differ, and stay within what the rules allow for.
+# Offsets of wall clocks, within MAX_CLOCK_SKEW_S of each other.
 SKEWS = (0.0, 0.9, -0.9, 0.5)
 LEAPS_S = (0.05, 0.5, 3.0, 60.0, 400.0)
-PLAIN_KEY_S = once.MEMORY_S - 2 * once.SKEW_S
+PLAIN_KEY_S = idempotency.RETENTION_S - 2 * idempotency.MAX_CLOCK_SKEW_S
 
 
 class DoubleRunError(AssertionError):
@@ -26,15 +26,15 @@
 
 
 class Pending(NamedTuple):
-    """A key that waits for the answers of earlier homes."""
+    """A key that waits for the answers of previous owners."""
 
-    home: str
+    owner: str
     key: str
     attempt: str
-    table: once.Table
-    homes: tuple[str, ...]
+    table: idempotency.Table
+    owners: tuple[str, ...]
     offset: int
-    replies: dict[str, once.Reply]
+    replies: dict[str, idempotency.Reply]
 
 
 class Rules:
@@ -45,13 +45,13 @@
 
 
 class NoAsk(Rules):
-    """A new home that does not ask the homes before it."""
+    """A new owner that does not ask previous owners."""
 
     asks = False
 
 
 class NoStart(Rules):
-    """A home that forgets that it has forgotten."""
+    """An owner that claims complete records after a restart."""
 
     remembers_start = False
 
@@ -64,7 +64,7 @@
 
 
 class World:
-    """Homes, callers and the log of memberships."""
+    """Owners, callers and the log of memberships."""
 
     def __init__(self, *, rules: Rules) -> None:
         self.rules = rules
@@ -73,7 +73,7 @@
         self.offsets = dict.fromkeys(NAMES, 1)
         self.tables = {name: self._table(name, 0.0) for name in NAMES}
         self.keys: list[str] = []
-        self.made_at: dict[str, float] = {}
+        self.created_at: dict[str, float] = {}
         self.sent: list[tuple[str, str]] = []
         self.pending: list[Pending] = []
         self.runs: dict[str, int] = {}
@@ -81,7 +81,7 @@
         self.refused = 0
 
     def act(self, chooser: Chooser) -> None:
-        """Let one thing happen."""
+        """Carry out one random action."""
         actions = [
             *[self.new_key] * 3,
             self.new_plain_key,
@@ -90,7 +90,7 @@
             *[self.reply] * 6,
             *[self.resolve] * 5,
             *[self.catch_up] * 3,
-            *[self.clear] * 2,
+            *[self.ask_release] * 2,
             self.change,
             self.restart,
             self.wait,
@@ -98,7 +98,7 @@
         chooser.pick(actions)(chooser)
 
     def wall(self, name: str) -> float:
-        """Return the clock of a box."""
+        """Return the wall clock of a box."""
         return self.now + SKEWS[NAMES.index(name)]
 
     def rows(self, name: str) -> tuple[Membership, ...]:
@@ -107,104 +107,110 @@
         return tuple(seen)
 
     def new_key(self, chooser: Chooser) -> None:
-        """Let a caller make a key and send it."""
+        """Send a new key with a timestamp."""
         skew = chooser.pick([0.0, 0.9, -0.9])
         millis = int((self.now + skew) * 1000)
         value = (millis << 80) | (7 << 76) | (2 << 62) | len(self.keys)
         key = str(uuid.UUID(int=value))
         self.keys.append(key)
-        self.made_at[key] = self.now
+        self.created_at[key] = self.now
         self._send(key, chooser)
 
     def new_plain_key(self, chooser: Chooser) -> None:
-        """Let a caller make a key without a time in it."""
+        """Send a new key without a timestamp."""
         key = f"order-{len(self.keys)}"
         self.keys.append(key)
-        self.made_at[key] = self.now
+        self.created_at[key] = self.now
         self._send(key, chooser)
 
     def repeat_key(self, chooser: Chooser) -> None:
-        """Let a caller, or a balancer, send a key again.
+        """Send a key again, as a caller or a load balancer may.
 
-        A key without a time is good only for the time of the memory.
+        A key without a timestamp may be reused only within the retention.
         """
-        keys = [key for key in self.keys if self._good(key)]
+        keys = [key for key in self.keys if self._is_valid(key)]
         if keys:
             self._send(chooser.pick(keys), chooser)
 
     def arrive(self, chooser: Chooser) -> None:
-        """Let a request arrive at the home that its entry chose."""
+        """Deliver a request to the owner that its entry chose."""
         if not self.sent:
             return
-        key, home = chooser.pick(self.sent)
-        self.sent.remove((key, home))
-        if not self._good(key):
+        key, owner = chooser.pick(self.sent)
+        self.sent.remove((key, owner))
+        if not self._is_valid(key):
             return
         self.attempts += 1
         attempt = f"a{self.attempts}"
-        table = self.tables[home]
-        judged = table.start(
+        table = self.tables[owner]
+        decision = table.start(
             key,
             attempt,
-            memberships=self.rows(home),
-            wall=self.wall(home),
+            memberships=self.rows(owner),
+            wall=self.wall(owner),
         )
-        if isinstance(judged, once.Ask) and not self.rules.asks:
-            judged = once.Run()
-        if isinstance(judged, once.Run):
+        if isinstance(decision, idempotency.Ask) and not self.rules.asks:
+            decision = idempotency.Run()
+        if isinstance(decision, idempotency.Run):
             self._run(key)
-        elif isinstance(judged, once.Ask):
+        elif isinstance(decision, idempotency.Ask):
             row = Pending(
-                home, key, attempt, table, judged.homes, judged.offset, {}
+                owner,
+                key,
+                attempt,
+                table,
+                decision.owners,
+                decision.offset,
+                {},
             )
             self.pending.append(row)
         else:
             self.refused += 1
 
     def reply(self, chooser: Chooser) -> None:
-        """Let an earlier home answer, or stay silent."""
+        """Let a previous owner answer, or time out."""
         if not self.pending:
             return
         row = chooser.pick(self.pending)
-        left = [name for name in row.homes if name not in row.replies]
-        if not left:
+        waiting = [name for name in row.owners if name not in row.replies]
+        if not waiting:
             return
-        name = chooser.pick(left)
-        silent = once.Reply(False, False, 0.0)
-        heard = chooser.pick([True, True, True, False])
-        row.replies[name] = self._answer(name, row) if heard else silent
+        name = chooser.pick(waiting)
+        no_answer = idempotency.Reply(False, False, 0.0)
+        answered = chooser.pick([True, True, True, False])
+        row.replies[name] = self._answer(name, row) if answered else no_answer
 
     def resolve(self, chooser: Chooser) -> None:
-        """Let a home decide on a key whose answers are all there."""
+        """Decide on a key once all previous owners have answered."""
         ready = [
-            row for row in self.pending if len(row.replies) == len(row.homes)
+            row for row in self.pending if len(row.replies) == len(row.owners)
         ]
         if not ready:
             return
         row = chooser.pick(ready)
         self.pending.remove(row)
-        if row.table is not self.tables[row.home]:
+        if row.table is not self.tables[row.owner]:
             return
-        wall = self.wall(row.home)
-        judged = row.table.resolve(
+        wall = self.wall(row.owner)
+        decision = row.table.resolve(
             row.key,
             row.attempt,
-            memberships=self.rows(row.home),
+            memberships=self.rows(row.owner),
             replies=row.replies,
             wall=wall,
         )
-        if isinstance(judged, once.Run):
+        if isinstance(decision, idempotency.Run):
             self._run(row.key)
         else:
             self.refused += 1
 
     def catch_up(self, chooser: Chooser) -> None:
-        """Let a box fold one more membership."""
+        """Fold one more membership at a box."""
         name = chooser.pick(NAMES)
         self.offsets[name] = min(self.offsets[name] + 1, len(self.log))
 
-    def clear(self, chooser: Chooser) -> None:
-        """Let a home ask another whether it has moved on."""
+    def ask_release(self, chooser: Chooser) -> None:
+        """Ask another owner whether it has released its keys."""
         name = chooser.pick(NAMES)
         other = chooser.pick(NAMES)
         rows = self.rows(name)
@@ -216,10 +222,12 @@
             asker_offset=rows[-1].offset,
         )
         if reply.released:
-            self.tables[name].clear(rows[-1].offset, other, self.wall(name))
+            self.tables[name].record_released(
+                rows[-1].offset, other, self.wall(name)
+            )
 
     def change(self, chooser: Chooser) -> None:
-        """Accept another membership."""
+        """Append a membership to the log."""
         old = self.log[-1].members
         name = chooser.pick(NAMES)
         members = tuple(sorted(set(old) ^ {name}))
@@ -227,7 +235,7 @@
             self.log.append(Membership(len(self.log) + 1, members))
 
     def restart(self, chooser: Chooser) -> None:
-        """Restart a home with an empty memory."""
+        """Restart an owner without records."""
         name = chooser.pick(NAMES)
         since = self.wall(name) if self.rules.remembers_start else 0.0
         self.tables[name] = self._table(name, since)
@@ -236,21 +244,21 @@
         """Let time pass."""
         self.now += chooser.pick(LEAPS_S)
 
-    def _good(self, key: str) -> bool:
-        """Tell whether a key may still be used."""
-        young = self.now - self.made_at[key] < PLAIN_KEY_S
-        return young or once.stamp(key) is not None
+    def _is_valid(self, key: str) -> bool:
+        """Return whether a key may still be used."""
+        recent = self.now - self.created_at[key] < PLAIN_KEY_S
+        return recent or idempotency.timestamp_of(key) is not None
 
-    def _table(self, name: str, since: float) -> once.Table:
-        return once.Table(name=name, since=since)
+    def _table(self, name: str, since: float) -> idempotency.Table:
+        return idempotency.Table(name=name, since=since)
 
     def _send(self, key: str, chooser: Chooser) -> None:
-        """Send a key to the home as an entry at some offset sees it."""
+        """Send a key to its owner as of an entry's offset."""
         at = chooser.pick([len(self.log), *range(1, len(self.log) + 1)])
-        home = once.home(key, self.log[at - 1].members)
-        self.sent.append((key, home))
+        owner = idempotency.owner_of(key, self.log[at - 1].members)
+        self.sent.append((key, owner))
 
-    def _answer(self, name: str, row: Pending) -> once.Reply:
+    def _answer(self, name: str, row: Pending) -> idempotency.Reply:
         return self.tables[name].answer(
             row.key,
             offset=self.offsets[name],
--- a/packages/reelscale-daemon/src/reelscale_daemon/agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/agent.py
@@ -10,7 +10,7 @@
 
 from typing import Any
 
-from reelscale_core import grant, once, settings
+from reelscale_core import grant, idempotency, settings
 from reelscale_wire import link
 from reelscale_wire.gen import Peer, ttypes
 from twisted.internet import defer, task
@@ -190,22 +190,22 @@
         return self._streams.admitted()
 
     async def _submit_once(self, request: ttypes.Submit) -> ttypes.Verdict:
-        judgement = await self._keys.judge(request)
-        match judgement:
-            case once.Run():
+        decision = await self._keys.decide(request)
+        match decision:
+            case idempotency.Run():
                 self._streams.start(request)
                 return self._streams.admitted()
-            case once.Repeat():
+            case idempotency.Repeat():
                 kept = self._keys.kept_by_key.get(request.once_key)
                 if kept is None:
                     return self._not_again(request, "key-taken")
                 self._streams.replay(request, kept.head, kept.body)
                 return self._streams.admitted()
-            case once.Refuse(code=code, not_run=True):
+            case idempotency.Refuse(code=code, not_run=True):
                 return self._streams.refuse(request.attempt, code)
-            case once.Refuse(code=code):
+            case idempotency.Refuse(code=code):
                 return self._not_again(request, code)
-        raise AssertionError(judgement)
+        raise AssertionError(decision)
 
     def _not_again(self, request: ttypes.Submit, code: str) -> ttypes.Verdict:
         """Refuse a key that has run or may have: the answer is unknown."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/keys.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/keys.py
@@ -5,7 +5,7 @@
 
 from typing import Any, NamedTuple
 
-from reelscale_core import clock, once
+from reelscale_core import clock, idempotency
 from reelscale_core import state as states
 from reelscale_wire import link
 from reelscale_wire.gen import ttypes
@@ -41,7 +41,7 @@
         links: link.Links,
         name: str,
     ) -> None:
-        self.table = once.Table(name=name, since=clock.wall())
+        self.table = idempotency.Table(name=name, since=clock.wall())
         self.kept_by_key: dict[str, Kept] = {}
         self._clock = clock
         self._config = config
@@ -67,7 +67,7 @@
         """Ask no longer."""
         self._timer.stop()
 
-    async def judge(self, request: ttypes.Submit) -> once.Judgement:
+    async def decide(self, request: ttypes.Submit) -> idempotency.Decision:
         """Decide on a key; Run means that it is now remembered."""
         key, attempt = request.once_key, request.attempt
         first = self.table.start(
@@ -76,21 +76,21 @@
             memberships=self._memberships(request.target),
             wall=self._clock.wall(),
         )
-        if not isinstance(first, once.Ask):
+        if not isinstance(first, idempotency.Ask):
             return first
         replies = await defer.gatherResults(
             [
                 defer.ensureDeferred(
                     self._ask(home, request.target, key, first.offset)
                 )
-                for home in first.homes
+                for home in first.owners
             ]
         )
         return self.table.resolve(
             key,
             attempt,
             memberships=self._memberships(request.target),
-            replies=dict(zip(first.homes, replies, strict=True)),
+            replies=dict(zip(first.owners, replies, strict=True)),
             wall=self._clock.wall(),
         )
 
@@ -113,7 +113,7 @@
         if not request.once_key or stream.kept is None:
             return
         if stream.not_run:
-            self.table.give_back(request.once_key, request.attempt)
+            self.table.release(request.once_key, request.attempt)
             return
         body = b"".join(stream.kept)
         if not stream.code and len(body) <= KEPT_ANSWER_BYTES and stream.head:
@@ -124,9 +124,9 @@
 
     async def _ask(
         self, home: str, target: str, key: str, offset: int
-    ) -> once.Reply:
+    ) -> idempotency.Reply:
         """Ask an earlier home; silence means that it has not moved on."""
-        silent = once.Reply(known=False, released=False, since=0.0)
+        silent = idempotency.Reply(known=False, released=False, since=0.0)
         upstream = self._config.state.upstreams_by_name.get(home)
         if upstream is None:
             return silent
@@ -137,7 +137,7 @@
             )
         except link.LinkError:
             return silent
-        return once.Reply(got.known, got.released, got.since_ms / 1000)
+        return idempotency.Reply(got.known, got.released, got.since_ms / 1000)
 
     async def _clear_moved(self) -> None:
         """Ask earlier homes once each whether they have moved on."""
@@ -149,11 +149,11 @@
         rows = state.members_by_target.get(mine.target, ())
         for home in _earlier(rows):
             offset = rows[-1].offset
-            if home == self._name or self.table.cleared(offset, home):
+            if home == self._name or self.table.is_released(offset, home):
                 continue
             reply = await self._ask(home, mine.target, "", offset)
             if reply.released:
-                self.table.clear(offset, home, self._clock.wall())
+                self.table.record_released(offset, home, self._clock.wall())
 
     def _forget_answers(self) -> None:
         for key in list(self.kept_by_key):
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from reelscale_core import answer, once
+from reelscale_core import answer, idempotency
 from reelscale_core import state as states
 from reelscale_wire import link
 from reelscale_wire.gen import ttypes
@@ -101,7 +101,7 @@
     """Return the name, the reason and the address of the upstream."""
     if request.idempotency_key:
         members = states.members(context.config.state, request.target)
-        name = once.home(_scoped(request), members) or ""
+        name = idempotency.owner_of(_scoped(request), members) or ""
         reason = "key"
         if context.membership.away(name):
             raise AttemptLostError("home-away", peer=name, not_run=True)
