--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -152,7 +152,7 @@
             "time to dump a state, by workspace",
             "s each",
             sizes,
-            lambda n: seconds(lambda: snapshot.cut(made[n])),
+            lambda n: seconds(lambda: snapshot.split(made[n])),
         ),
         fit(
             "time to load a state, by workspace",
--- a/features/models/configlog.py
+++ b/features/models/configlog.py
@@ -138,7 +138,7 @@
         """Let a reader write its state into the log, in small parts."""
         reader = chooser.pick(self.readers)
         if reader.offset >= 0:
-            self.log += snapshot.cut(reader, chars=400)
+            self.log += snapshot.split(reader, chars=400)
 
     def start_late(self, chooser: Chooser) -> None:
         """Start a reader from a snapshot, the log before it being gone."""
--- a/features/models/relayout.py
+++ b/features/models/relayout.py
@@ -58,7 +58,7 @@
     fencing: bool = False
     fenced: int | None = None
     stopped: bool = False
-    wanted: relayout.Wanted | None = None
+    wanted: relayout.DesiredLayout | None = None
     versions: int = 0
 
 
@@ -146,7 +146,7 @@
         if len(missing) > 1:
             return
         heard, holder.asking, holder.asked = holder.asking, {}, []
-        if not relayout.whole(heard):
+        if not relayout.is_complete(heard):
             holder.wanted = None
             self._go_on_without(holder, heard)
             return
@@ -162,7 +162,7 @@
         rests = not any(r.armed or r.held is not None for r in heard.values())
         if holder.wanted is None and rests and holder.versions < MOST_WANTED:
             version = self._next_version(holder)
-            holder.wanted = relayout.Wanted(version, ())
+            holder.wanted = relayout.DesiredLayout(version, ())
 
     def _go_on_without(
         self, holder: Holder, heard: dict[str, ranks.Rank]
@@ -253,7 +253,7 @@
                 holder.fenced_without = holder.without
             holder.without = None
             holder.view = None
-        elif holder.unsure or not relayout.whole(holder.view):
+        elif holder.unsure or not relayout.is_complete(holder.view):
             holder.view = None
 
     def settle(self) -> bool:
--- a/features/models/relayout_rules.py
+++ b/features/models/relayout_rules.py
@@ -21,11 +21,11 @@
     def plan(
         self,
         view: Mapping[str, ranks.Rank],
-        wanted: relayout.Wanted | None,
+        desired: relayout.DesiredLayout | None,
         holder: str,
     ) -> dict[str, ranks.Order]:
         """Return a holder's next orders."""
-        return relayout.plan(view, wanted=wanted, holder=holder)
+        return relayout.plan(view, desired=desired, holder=holder)
 
     def plan_without(
         self, view: Mapping[str, ranks.Rank], missing: int
@@ -40,12 +40,14 @@
     def plan(
         self,
         view: Mapping[str, ranks.Rank],
-        wanted: relayout.Wanted | None,
+        desired: relayout.DesiredLayout | None,
         holder: str,
     ) -> dict[str, ranks.Order]:
         """Return a holder's next orders."""
         margin = 2 + max(item.step for item in view.values()) % 7
-        return relayout.plan(view, wanted=wanted, holder=holder, margin=margin)
+        return relayout.plan(
+            view, desired=desired, holder=holder, margin=margin
+        )
 
 
 class Guess(Rules):
@@ -70,15 +72,15 @@
     def plan(
         self,
         view: Mapping[str, ranks.Rank],
-        wanted: relayout.Wanted | None,
+        desired: relayout.DesiredLayout | None,
         holder: str,
     ) -> dict[str, ranks.Order]:
         """Return orders as if the hold had been taken."""
-        orders = super().plan(view, wanted, holder)
+        orders = super().plan(view, desired, holder)
         for name, order in orders.items():
             if isinstance(order, ranks.Hold):
                 held = view[name]._replace(held=order.step)
-                return super().plan({**view, name: held}, wanted, holder)
+                return super().plan({**view, name: held}, desired, holder)
         return orders
 
 
@@ -94,11 +96,11 @@
     def plan(
         self,
         view: Mapping[str, ranks.Rank],
-        wanted: relayout.Wanted | None,
+        desired: relayout.DesiredLayout | None,
         holder: str,
     ) -> dict[str, ranks.Order]:
         """Return a go in place of further arming."""
-        orders = super().plan(view, wanted, holder)
+        orders = super().plan(view, desired, holder)
         some = any(item.armed for item in view.values())
         arms = any(isinstance(o, ranks.Arm) for o in orders.values())
         if not (some and arms):
--- a/features/models/shifting_demand.py
+++ b/features/models/shifting_demand.py
@@ -102,7 +102,7 @@
     def _better(self, now: float) -> Change | None:
         """Begin a change, if one is worth it."""
         solved = replicas.solve(
-            self.held, self.recent, self.bounds, least_gain=LEAST_GAIN
+            self.held, self.recent, self.bounds, min_gain=LEAST_GAIN
         )
         before = sum(item.before for item in solved)
         after = sum(item.after for item in solved)
--- a/features/steps/layouts_under_shift_steps.py
+++ b/features/steps/layouts_under_shift_steps.py
@@ -71,7 +71,7 @@
     held = [[(0, 1), (2, 3)], [(0, 1), (2, 3)]]
     demand = [[9.0, 8.0, 1.0, 1.0], [3.0, 3.0, 2.0, 2.0]]
     bounds = replicas.Bounds(places=3, spare=2, loads=1)
-    context.solved = replicas.solve(held, demand, bounds, least_gain=0.01)
+    context.solved = replicas.solve(held, demand, bounds, min_gain=0.01)
 
 
 @then("what is loaded belongs to the first")
--- a/packages/reelscale-core/src/reelscale_core/address.py
+++ b/packages/reelscale-core/src/reelscale_core/address.py
@@ -5,7 +5,7 @@
 
 import ipaddress
 
-MOST_PORT = 65535
+MAX_PORT = 65535
 PORT_DIGITS = 5
 
 
@@ -14,7 +14,7 @@
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdigit() and len(port) <= PORT_DIGITS):
         return False
-    return is_host(host) and 0 < int(port) <= MOST_PORT
+    return is_host(host) and 0 < int(port) <= MAX_PORT
 
 
 def is_host(text: str) -> bool:
--- a/packages/reelscale-core/src/reelscale_core/events.py
+++ b/packages/reelscale-core/src/reelscale_core/events.py
@@ -53,5 +53,5 @@
     for line in text.split(b"\n"):
         if line.startswith(ID):
             value = line[len(ID) :].strip()
-            return number.whole(value.decode("latin-1"))
+            return number.integer(value.decode("latin-1"))
     return None
--- a/packages/reelscale-core/src/reelscale_core/fold.py
+++ b/packages/reelscale-core/src/reelscale_core/fold.py
@@ -99,12 +99,12 @@
         case record.LeaseRecord():
             return _lease(state, offset, item)
         case record.FullConfigRecord():
-            return _whole(state, item)
+            return _replace_config(state, item)
         case _:
             return state
 
 
-def _whole(state: State, item: record.FullConfigRecord) -> State:
+def _replace_config(state: State, item: record.FullConfigRecord) -> State:
     """Take a whole configuration, unless a newer one is in force."""
     if item.version <= state.version:
         return state
@@ -249,8 +249,8 @@
     rows = state.upstreams_by_name.set(put.name, put)
     state = state._replace(upstreams_by_name=rows)
     if old is not None and old.target != put.target:
-        state = _note_members(state, offset, old.target)
-    return _note_members(state, offset, put.target)
+        state = _record_members(state, offset, old.target)
+    return _record_members(state, offset, put.target)
 
 
 def _remove(state: State, offset: int, item: change.Remove) -> State:
@@ -262,13 +262,13 @@
     state = state._replace(**{field: rows.delete(item.name)})
     if item.kind != "upstream":
         return state
-    state = _note_members(state, offset, old.target)
+    state = _record_members(state, offset, old.target)
     if item.fenced:
-        state = _forget_member(state, old.target, item.name)
+        state = _remove_member(state, old.target, item.name)
     return state
 
 
-def _forget_member(state: State, target: str, name: str) -> State:
+def _remove_member(state: State, target: str, name: str) -> State:
     """Take an upstream that is certainly off out of the memberships.
 
     Later homes of its keys then need not wait for its answer.
@@ -281,7 +281,7 @@
     return state._replace(members_by_target=table)
 
 
-def _note_members(state: State, offset: int, target: str) -> State:
+def _record_members(state: State, offset: int, target: str) -> State:
     """Remember who serves a target, if that has changed."""
     now = tuple(
         sorted(
--- a/packages/reelscale-core/src/reelscale_core/lease.py
+++ b/packages/reelscale-core/src/reelscale_core/lease.py
@@ -33,7 +33,7 @@
 
 
 def held(
-    name: str, lease: state.Lease, *, claim_id: str, asked_at: float
+    name: str, lease: state.Lease, *, claim_id: str, requested_at: float
 ) -> Held | None:
     """Return the holder's view of a lease, if its claim was accepted.
 
@@ -41,14 +41,14 @@
       name: What is claimed.
       lease: The newest accepted claim, as folded.
       claim_id: Id of the own claim.
-      asked_at: Monotonic seconds just before the claim was appended.
+      requested_at: Monotonic seconds just before the claim was appended.
 
     Returns:
       The lease held, or None when another claim won.
     """
     if lease.id != claim_id:
         return None
-    return Held(name, lease.offset, asked_at + lease.ttl_ms / 1000)
+    return Held(name, lease.offset, requested_at + lease.ttl_ms / 1000)
 
 
 def usable(lease: Held, now: float) -> bool:
--- a/packages/reelscale-core/src/reelscale_core/number.py
+++ b/packages/reelscale-core/src/reelscale_core/number.py
@@ -11,7 +11,7 @@
 _DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{0,15})?", re.ASCII)
 
 
-def whole(text: str, *, digits: int = DIGITS) -> int | None:
+def integer(text: str, *, digits: int = DIGITS) -> int | None:
     """Return the whole number that a text holds; None if it holds none.
 
     Args:
--- a/packages/reelscale-core/src/reelscale_core/placement.py
+++ b/packages/reelscale-core/src/reelscale_core/placement.py
@@ -22,7 +22,7 @@
 # A move must lower the sum of squared relative rank loads by this much
 # times the cost weight over the skew weight.
 GAIN_PER_MOVE = 0.02
-SMALLEST_WEIGHT = 0.01
+MIN_WEIGHT = 0.01
 
 
 class Layer(NamedTuple):
@@ -152,7 +152,7 @@
       way to other work between moves.
     """
     work = _Work(layer)
-    weight = max(skew_weight, SMALLEST_WEIGHT)
+    weight = max(skew_weight, MIN_WEIGHT)
     least = GAIN_PER_MOVE * (1 - skew_weight) / weight
     while budget > 0:
         step = work.best()
--- a/packages/reelscale-core/src/reelscale_core/relayout.py
+++ b/packages/reelscale-core/src/reelscale_core/relayout.py
@@ -31,7 +31,7 @@
 MARGIN_STEPS = 2
 
 
-class Wanted(NamedTuple):
+class DesiredLayout(NamedTuple):
     """A layout that a group is to be brought onto.
 
     Attributes:
@@ -43,7 +43,7 @@
     table: ranks.Table
 
 
-def whole(by_name: Mapping[str, ranks.Rank]) -> bool:
+def is_complete(by_name: Mapping[str, ranks.Rank]) -> bool:
     """Tell whether these are all ranks of one open group, in one epoch."""
     found = list(by_name.values())
     numbers = {item.number for item in found}
@@ -73,7 +73,7 @@
 def plan(
     by_name: Mapping[str, ranks.Rank],
     *,
-    wanted: Wanted | None,
+    desired: DesiredLayout | None,
     holder: str,
     margin: int = MARGIN_STEPS,
 ) -> dict[str, ranks.Order]:
@@ -82,7 +82,7 @@
     Args:
       by_name: What all ranks of the group report; see whole(). Each has
         refused earlier holders before it reported.
-      wanted: The layout to bring into use, if any.
+      desired: The layout to bring into use, if any.
       holder: The rank that is to hold the group.
       margin: How many steps ahead a change is held, MARGIN_STEPS at least; if
         all ranks are armed by then, the group does not stand still.
@@ -97,9 +97,9 @@
         return _finish(by_name, min(armed), held, holder)
     if held:
         return _resume(by_name, held, holder)
-    if wanted is None:
+    if desired is None:
         return {}
-    return _begin(by_name, wanted, holder, margin)
+    return _begin(by_name, desired, holder, margin)
 
 
 def plan_without(
@@ -135,20 +135,20 @@
 
 def _begin(
     by_name: Mapping[str, ranks.Rank],
-    wanted: Wanted,
+    desired: DesiredLayout,
     holder: str,
     margin: int,
 ) -> dict[str, ranks.Order]:
     """Have all ranks prepare a layout, then hold the group."""
-    if all(item.version == wanted.version for item in by_name.values()):
+    if all(item.version == desired.version for item in by_name.values()):
         return {}
     missing = {
         name: item
         for name, item in by_name.items()
-        if item.prepared != wanted.version
+        if item.prepared != desired.version
     }
     if missing:
-        order = ranks.Prepare(wanted.version, wanted.table)
+        order = ranks.Prepare(desired.version, desired.table)
         return {n: order for n, item in missing.items() if not item.copying}
     step = step_to_change_at(by_name, margin)
     return {_that_holds(by_name, holder): ranks.Hold(step)}
--- a/packages/reelscale-core/src/reelscale_core/replicas.py
+++ b/packages/reelscale-core/src/reelscale_core/replicas.py
@@ -36,7 +36,7 @@
     loads: int | None = None
 
 
-class Solved(NamedTuple):
+class Solution(NamedTuple):
     """A layout for one set of layers.
 
     Attributes:
@@ -98,7 +98,7 @@
         """Return what one of its ranks bears of an expert."""
         return self.demand[expert] / len(self.owners[expert])
 
-    def given_up(self, number: int, new: int) -> int | None:
+    def expert_to_evict(self, number: int, new: int) -> int | None:
         """Return the expert, or NO_EXPERT, that a rank would give up.
 
         None if the rank has no place left and nothing that it may give up.
@@ -157,8 +157,8 @@
     demand: Sequence[Sequence[float]],
     bounds: Bounds,
     *,
-    least_gain: float,
-) -> list[Solved]:
+    min_gain: float,
+) -> list[Solution]:
     """Return a layout with more even loads for each set of layers.
 
     A pass takes the largest load of each set, one after the other, so the
@@ -169,7 +169,7 @@
       held: Experts in use, by set, then rank.
       demand: Tokens of each expert, by set, forecast.
       bounds: What the engine allows.
-      least_gain: A replica is loaded only if it lowers the largest load by
+      min_gain: A replica is loaded only if it lowers the largest load by
         this part of the mean.
     """
     works = [
@@ -179,7 +179,7 @@
     loaded = [0] * len(works)
     befores = [work.skew for work in works]
     left = _loads_left(held, bounds)
-    best = [_best(work, least_gain, left) for work in works]
+    best = [_best(work, min_gain, left) for work in works]
     while any(best):
         number = max(
             (n for n, found in enumerate(best) if found),
@@ -193,9 +193,9 @@
         for other, work in enumerate(works):
             spent = best[other] and left[best[other].to] <= 0
             if other == number or spent:
-                best[other] = _best(work, least_gain, left)
+                best[other] = _best(work, min_gain, left)
     return [
-        Solved(work.rows, before, work.skew, count)
+        Solution(work.rows, before, work.skew, count)
         for work, before, count in zip(works, befores, loaded, strict=True)
     ]
 
@@ -209,12 +209,12 @@
     return [each] * max((len(rows) for rows in held), default=0)
 
 
-def _best(work: _Set, least_gain: float, left: Sequence[int]) -> _Gain | None:
+def _best(work: _Set, min_gain: float, left: Sequence[int]) -> _Gain | None:
     """Return the replica that lowers the largest load most, if any does.
 
     Args:
       work: The set of layers.
-      least_gain: The least that it must lower it by, in parts of the mean.
+      min_gain: The least that it must lower it by, in parts of the mean.
       left: How many experts each rank may still load.
     """
     mean = work.mean
@@ -228,11 +228,11 @@
     for expert in hot[:EXPERTS_TRIED]:
         fit = [n for n in free if n not in work.owners[expert]]
         for to in fit[:RANKS_TRIED]:
-            out = work.given_up(to, expert)
+            out = work.expert_to_evict(to, expert)
             if out is None:
                 continue
             changed = work.with_replica(expert, to, out)
             gain = (work.loads[top] - max(changed.values())) / mean
-            if gain >= least_gain and (best is None or gain > best.gain):
+            if gain >= min_gain and (best is None or gain > best.gain):
                 best = _Gain(gain, expert, to, out)
     return best
--- a/packages/reelscale-core/src/reelscale_core/snapshot.py
+++ b/packages/reelscale-core/src/reelscale_core/snapshot.py
@@ -12,16 +12,18 @@
 PART_CHARS = 200_000
 
 
-def cut(whole: state.State, *, chars: int = PART_CHARS) -> list[dict]:
+def split(whole: state.State, *, chars: int = PART_CHARS) -> list[dict]:
     """Cut a state into snapshot records, ready to append.
 
     The id is derived from the content, so two writers at the same offset
     write the same snapshot and do no harm.
     """
-    return cut_text(whole.offset, state.dump(whole), chars=chars)
+    return split_text(whole.offset, state.dump(whole), chars=chars)
 
 
-def cut_text(offset: int, text: str, *, chars: int = PART_CHARS) -> list[dict]:
+def split_text(
+    offset: int, text: str, *, chars: int = PART_CHARS
+) -> list[dict]:
     """Cut a dumped state into snapshot records.
 
     Args:
--- a/packages/reelscale-core/src/reelscale_core/state.py
+++ b/packages/reelscale-core/src/reelscale_core/state.py
@@ -116,7 +116,7 @@
     first = {"offset": state.offset, "version": state.version}
     first["limits"] = state.limits._asdict()
     lines = [orjson.dumps(first)]
-    for field, (turn, _) in _TURNS.items():
+    for field, (turn, _) in _CODECS.items():
         rows = getattr(state, field)
         keys = sorted(rows)
         yield
@@ -144,7 +144,7 @@
     for line in lines:
         data = orjson.loads(line)
         field = data["of"]
-        _, build = _TURNS[field]
+        _, build = _CODECS[field]
         rows = {key: build(row) for key, row in data["rows"].items()}
         table = getattr(state, field).update(rows)
         state = state._replace(**{field: table})
@@ -196,7 +196,7 @@
 
 
 # How the rows of each field are turned into JSON data and built from it.
-_TURNS: dict[str, tuple[Callable[[Any], Any], Callable[[Any], Any]]] = {
+_CODECS: dict[str, tuple[Callable[[Any], Any], Callable[[Any], Any]]] = {
     "workspaces_by_name": (model.to_json, model.workspace),
     "services_by_name": (model.to_json, model.service),
     "groups_by_name": (model.to_json, model.group),
--- a/packages/reelscale-core/src/reelscale_core/suspension.py
+++ b/packages/reelscale-core/src/reelscale_core/suspension.py
@@ -13,7 +13,7 @@
 
 # Shorter ones are not told: clocks are read one after the other, and what is
 # believed may be as old as that anyway.
-SHORTEST_S = 0.3
+MIN_SUSPENSION_S = 0.3
 
 
 class Reading(NamedTuple):
@@ -54,4 +54,4 @@
         gone_s = now.all_s - before.all_s - running_s
     else:
         gone_s = now.wall_s - before.wall_s - running_s
-    return gone_s if gone_s >= SHORTEST_S else 0.0
+    return gone_s if gone_s >= MIN_SUSPENSION_S else 0.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
@@ -338,7 +338,7 @@
             return
         state = self.state
         text = await self._dump(state)
-        for part in snapshot.cut_text(state.offset, text):
+        for part in snapshot.split_text(state.offset, text):
             await self._platform.append([part])
         LOG.info("Wrote a snapshot.", offset=state.offset)
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
@@ -93,7 +93,7 @@
         self._finish_only = False
         self._busy = False
         self._limits: base.EngineLimits | None = None
-        self._desired: relayout.Wanted | None = None
+        self._desired: relayout.DesiredLayout | None = None
         self._fenced: _Fenced | None = None
         self._refused_fence = -1
         self._newest_version = 0
@@ -217,7 +217,7 @@
         self._round_fence = self._fence
         by_name = await self._query_ranks()
         self._arming.record_ranks(by_name)
-        if not relayout.whole(by_name):
+        if not relayout.is_complete(by_name):
             self._desired = None
             await self._cancel_change(by_name)
             return
@@ -226,7 +226,7 @@
             if not await self._fence_earlier_holders(by_name, epoch):
                 return
             by_name = await self._query_ranks()
-            if not relayout.whole(by_name):
+            if not relayout.is_complete(by_name):
                 return
             if not self._is_fenced(by_name, epoch):
                 # A rank restarted meanwhile and lost the fence.
@@ -306,7 +306,7 @@
             wanted = None if self._stopped else self._desired
             orders = relayout.plan(
                 by_name,
-                wanted=wanted,
+                desired=wanted,
                 holder=holder,
                 margin=self._arming.margin,
             )
@@ -320,9 +320,11 @@
                 LOG.warning("A rank restarted.", epoch=epoch)
                 return
             by_name = {**by_name, **reported}
-            if len(reported) < len(orders) or not relayout.whole(by_name):
+            if len(reported) < len(orders) or not relayout.is_complete(
+                by_name
+            ):
                 by_name = await self._query_ranks()
-                if not relayout.whole(by_name):
+                if not relayout.is_complete(by_name):
                     return
             self._holds.record_ranks(by_name)
             if self._handle_prepares(orders, outcomes):
@@ -371,7 +373,7 @@
 
     def _better_layout(
         self, by_name: Mapping[str, rank.Rank]
-    ) -> relayout.Wanted | None:
+    ) -> relayout.DesiredLayout | None:
         """Return a layout that is worth the change; None if there is none."""
         better = self._ranks.choose(by_name, self._limits)
         if better is None:
@@ -384,7 +386,7 @@
             skew_after=round(better.skew_after, 3),
             loaded=better.loaded,
         )
-        return relayout.Wanted(version, better.table)
+        return relayout.DesiredLayout(version, better.table)
 
     def _next_version(self, by_name: Mapping[str, rank.Rank]) -> int:
         """Return a version that no rank has seen."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/holds.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/holds.py
@@ -42,7 +42,7 @@
     def record_ranks(self, by_name: Mapping[str, rank.Rank]) -> None:
         """Record reports; an unresponsive rank may still hold the group."""
         held = any(item.held is not None for item in by_name.values())
-        if held or relayout.whole(by_name):
+        if held or relayout.is_complete(by_name):
             self.seen = held
         self._unanswered = {
             hold
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
@@ -167,7 +167,7 @@
             current = self._config.state.leases_by_name.get(name)
             if current is not None and current.offset > replaces:
                 self._held = lease.held(
-                    name, current, claim_id=claim.id, asked_at=asked_at
+                    name, current, claim_id=claim.id, requested_at=asked_at
                 )
                 return self._held is not None
             await task.deferLater(self._reactor, ROUND_PAUSE_S)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/rank_reports.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/rank_reports.py
@@ -170,7 +170,7 @@
         return name, report
 
     def record_in_use(
-        self, by_name: Mapping[str, rank.Rank], wanted: relayout.Wanted
+        self, by_name: Mapping[str, rank.Rank], wanted: relayout.DesiredLayout
     ) -> None:
         """Record the experts of ranks once all of them use a layout."""
         for name, item in by_name.items():
@@ -198,7 +198,7 @@
             for number in range(len(sets))
         ]
         solved = replicas.solve(
-            held, sets, bounds_of(limits), least_gain=MIN_GAIN
+            held, sets, bounds_of(limits), min_gain=MIN_GAIN
         )
         before = sum(item.before for item in solved)
         after = sum(item.after for item in solved)
