--- a/bench/storm.py
+++ b/bench/storm.py
@@ -64,7 +64,7 @@
             sent += 1
             second = int(now)
             sent_by_second[second] = sent_by_second.get(second, 0) + 1
-            if down and tries < retry.MOST_ATTEMPTS:
+            if down and tries < retry.MAX_ATTEMPTS:
                 due.append((now + TIMEOUT_S, item, tries + 1))
         now += TICK_S
     peak = max(sent_by_second.values()) / RATE_S
--- a/features/models/exchange.py
+++ b/features/models/exchange.py
@@ -186,12 +186,12 @@
         for attempt, part in self.parts.items():
             text = self.texts[attempt]
             right = [_chunk(attempt, n) for n in range(len(text))]
-            if text != right or (part.whole and len(text) != CHUNKS):
+            if text != right or (part.complete and len(text) != CHUNKS):
                 raise ToldWrongError(f"{attempt} was given {text}")
 
     def _submit(self, item: Message) -> None:
         if not self.rules.tombstones:
-            self.gate._dead.clear()
+            self.gate._tombstones.clear()
         judged = self.gate.submit(item.attempt, "e1", self.now)
         if judged.admitted and not judged.repeated:
             self.ledger.add(item.attempt)
--- a/features/models/lockstep.py
+++ b/features/models/lockstep.py
@@ -33,29 +33,29 @@
 class Rules:
     """The rules under test."""
 
-    def obey(
+    def apply_order(
         self, rank: rules.Rank, order: rules.Order
     ) -> tuple[rules.Rank, bool]:
         """Apply an order to a rank."""
-        return rules.obey(rank, order)
+        return rules.apply_order(rank, order)
 
-    def begins(self, rank: rules.Rank, step: int) -> int:
+    def layout_at(self, rank: rules.Rank, step: int) -> int:
         """Return the layout of a step, 0 to wait."""
-        return rules.begins(rank, step)
+        return rules.layout_at(rank, step)
 
-    def note(
+    def merge_replies(
         self,
         seen: Mapping[str, rules.Rank],
         replies: Mapping[str, rules.Rank | None],
     ) -> dict[str, rules.Rank]:
         """Take replies in."""
-        return schedule.note(seen, replies)
+        return schedule.merge_replies(seen, replies)
 
 
 class OldView(Rules):
     """A holder that goes on with what it heard before a loss."""
 
-    def note(
+    def merge_replies(
         self,
         seen: Mapping[str, rules.Rank],
         replies: Mapping[str, rules.Rank | None],
@@ -69,32 +69,32 @@
 class NoFence(Rules):
     """A rank that takes orders of any holder."""
 
-    def obey(
+    def apply_order(
         self, rank: rules.Rank, order: rules.Order
     ) -> tuple[rules.Rank, bool]:
         """Apply an order, however old its fence."""
         fence = max(rank.fence, order.fence)
-        return rules.obey(rank, order._replace(fence=fence))
+        return rules.apply_order(rank, order._replace(fence=fence))
 
 
 class NoDecision(Rules):
     """Two phases: a rank goes on as soon as all have promised."""
 
-    def obey(
+    def apply_order(
         self, rank: rules.Rank, order: rules.Order
     ) -> tuple[rules.Rank, bool]:
         """Apply an order, a decision being a commit."""
         if isinstance(order, rules.Decide):
             order = rules.Commit(*order)
-        return rules.obey(rank, order)
+        return rules.apply_order(rank, order)
 
 
 class NoHold(Rules):
     """A rank that has promised does not wait for the commit."""
 
-    def begins(self, rank: rules.Rank, step: int) -> int:
+    def layout_at(self, rank: rules.Rank, step: int) -> int:
         """Return the layout of a step, guessing the old one."""
-        return rules.begins(rank, step) or rank.version
+        return rules.layout_at(rank, step) or rank.version
 
 
 RULES = {
@@ -153,7 +153,7 @@
         others = [self.done[n] for n in self.names if n != name]
         if rank.version == 0 or any(done < step - 1 for done in others):
             return
-        version = self.rules.begins(rank, step)
+        version = self.rules.layout_at(rank, step)
         if version == 0:
             return
         ran = self.version_by_step.setdefault(step, version)
@@ -172,7 +172,7 @@
         )
         if late and chooser.pick([*[True] * 11, False]):
             return
-        self.views[holder] = self.rules.note(
+        self.views[holder] = self.rules.merge_replies(
             self.views[holder],
             {n: self.replies[holder].get(n) for n in self.asked[holder]},
         )
@@ -182,7 +182,7 @@
         plan = schedule.plan_round(
             self.views[holder],
             self.members,
-            wanted=self.wanted,
+            target=self.wanted,
             fence=self.fences[holder],
             seq=seq,
             margin=MARGIN_STEPS,
@@ -215,7 +215,7 @@
             if letter.round == self.rounds[letter.holder]:
                 self.replies[letter.holder][letter.rank] = letter.reply
             return
-        rank, _ = self.rules.obey(self.ranks[letter.rank], letter.order)
+        rank, _ = self.rules.apply_order(self.ranks[letter.rank], letter.order)
         self.ranks[letter.rank] = rank
         if rank.version and self.done[letter.rank] < rank.step:
             self.done[letter.rank] = rank.step
--- a/features/models/shedding.py
+++ b/features/models/shedding.py
@@ -232,7 +232,7 @@
         """Clear every request."""
         return 0.0
 
-    def apart(self, _asked: call.Call, candidates: list) -> list:
+    def isolate(self, _asked: call.Call, candidates: list) -> list:
         """Leave the choice as it is."""
         return candidates
 
--- a/features/models/shifting_group.py
+++ b/features/models/shifting_group.py
@@ -72,7 +72,7 @@
             self.paces[stream.entry] = pace.observed(
                 self.paces[stream.entry],
                 pass_s,
-                longest_s=GOOD_S,
+                max_pause_s=GOOD_S,
                 used=used,
                 now=now,
                 fixed_s=FIXED_S,
--- a/features/models/suspects.py
+++ b/features/models/suspects.py
@@ -170,7 +170,7 @@
         if entry.suspects.convicted_s(asked):
             caller.refused += 1
             return
-        candidates = entry.suspects.apart(asked, self._candidates())
+        candidates = entry.suspects.isolate(asked, self._candidates())
         free = [
             item for item in candidates if item.local_in_flight < item.slots
         ]
--- a/features/steps/agent_backoff_steps.py
+++ b/features/steps/agent_backoff_steps.py
@@ -77,5 +77,5 @@
 @then("its gate is closed after {closed:g} s and open after {opened:g} s")
 def _(context, closed, opened):
     gate = context.streams.gate
-    assert not gate.takes_work(closed)
-    assert gate.takes_work(opened)
+    assert not gate.accepts_work(closed)
+    assert gate.accepts_work(opened)
--- a/features/steps/layouts_under_shift_steps.py
+++ b/features/steps/layouts_under_shift_steps.py
@@ -94,7 +94,7 @@
 
 def _look(context, epoch, counts, now):
     """Take the counters of the one rank of a group."""
-    counted = {"r0": demand.Counted(epoch, counts)}
+    counted = {"r0": demand.Counters(epoch, counts)}
     context.demand = demand.observed(
         context.demand, counted, now=now, half_life_s=0.5
     )
--- a/features/steps/platform_usage_steps.py
+++ b/features/steps/platform_usage_steps.py
@@ -140,7 +140,7 @@
     start = max(0.0, found.sampled_at)
     for number in range(int(seconds / 0.02)):
         found = pace.observed(
-            found, pause, longest_s=good, used=1.0, now=start + number * 0.02
+            found, pause, max_pause_s=good, used=1.0, now=start + number * 0.02
         )
     context.pace = found
 
@@ -156,17 +156,17 @@
 @then("there is no limit, as it would do no good")
 def _(context):
     assert context.pace.limit == 1.0, context.pace
-    assert context.pace.vain, context.pace
+    assert context.pace.ineffective, context.pace
 
 
 @when("they stay so though its limit is kept")
 def _(context):
     found = context.pace
-    for _ in range(2 * pace.VAIN_PASSES):
+    for _ in range(2 * pace.INEFFECTIVE_PASSES):
         found = pace.observed(
             found,
             0.2,
-            longest_s=GOOD_S,
+            max_pause_s=GOOD_S,
             used=0.9 * found.limit,
             now=found.sampled_at + 0.2,
         )
@@ -179,7 +179,7 @@
     context.pace = pace.observed(
         found,
         pause,
-        longest_s=GOOD_S,
+        max_pause_s=GOOD_S,
         used=1.0,
         now=found.sampled_at + pause,
     )
@@ -192,8 +192,8 @@
 
 @then("at least half of its slots may be in use")
 def _(context):
-    assert not context.pace.vain, context.pace
-    assert context.pace.limit >= pace.CURED, context.pace
+    assert not context.pace.ineffective, context.pace
+    assert context.pace.limit >= pace.RECOVERED_SHARE, context.pace
 
 
 @then("its limit has come up to the whole")
@@ -222,7 +222,7 @@
                 entries[number] = pace.observed(
                     entries[number],
                     pause,
-                    longest_s=GOOD_S,
+                    max_pause_s=GOOD_S,
                     used=used,
                     now=now,
                 )
@@ -252,7 +252,7 @@
     "wanted"
 )
 def _(context, slots, takes, goal):
-    assert waiting.room(slots, goal_s=goal, takes_s=takes) == 0
+    assert waiting.queue_capacity(slots, goal_s=goal, takes_s=takes) == 0
 
 
 @then(
@@ -260,7 +260,7 @@
     "s is wanted"
 )
 def _(context, slots, takes, count, goal):
-    assert waiting.room(slots, goal_s=goal, takes_s=takes) == count
+    assert waiting.queue_capacity(slots, goal_s=goal, takes_s=takes) == count
 
 
 @when(
--- a/features/steps/rank_starts_steps.py
+++ b/features/steps/rank_starts_steps.py
@@ -158,7 +158,7 @@
     found = demand.Demand()
     rows = ((100, 1000), (130, 1005))
     for at, (count, born_ms) in enumerate(rows):
-        counted = {"r0": demand.Counted(1, (count,), born_ms)}
+        counted = {"r0": demand.Counters(1, (count,), born_ms)}
         found = demand.observed(found, counted, now=at, half_life_s=1)
     context.demand = found
 
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -22,14 +22,14 @@
 
 def _parted_without_memory(per_s, upstream, entries):
     """Share by those that are heard alone, as if nobody could be cut off."""
-    heard = entries._replace(known=len(entries.heard))
+    heard = entries._replace(known=len(entries.reachable))
     return REAL_SHARE(per_s, upstream, heard)
 
 
 REAL_SHARE = rate_limit.share_per_s
 FAULTS = {
     "sharing": ("share_per_s", lambda per_s, upstream, entries: per_s),
-    "counting retries": ("taken", lambda bucket: bucket),
+    "counting retries": ("debited", lambda bucket: bucket),
     "cut halves": ("share_per_s", _parted_without_memory),
 }
 
--- a/features/steps/schedule_steps.py
+++ b/features/steps/schedule_steps.py
@@ -34,7 +34,7 @@
     seen = {}
     for number in range(max(starts.values()) + MOST_ROUNDS):
         plan = schedule.plan_round(
-            seen, members, wanted=WANTED, fence=FENCE, seq=number
+            seen, members, target=WANTED, fence=FENCE, seq=number
         )
         probes = lockstep.Probe
         if not all(type(item) is probes for item in plan.orders.values()):
@@ -43,7 +43,7 @@
             name: _blank(name) if number >= starts[name] else None
             for name in plan.orders
         }
-        seen = schedule.note(seen, replies)
+        seen = schedule.merge_replies(seen, replies)
     return None
 
 
--- a/features/steps/suspects_steps.py
+++ b/features/steps/suspects_steps.py
@@ -26,11 +26,11 @@
 FAULTS = {
     "judging by numbers": (
         suspicion,
-        "_guilty",
+        "_is_convicted",
         lambda record, *, only: len(record.crashed) >= 2,
     ),
     "telling others": (suspects.Suspects, "take", _take_nothing),
-    "convicting": (suspicion, "_guilty", lambda record, *, only: False),
+    "convicting": (suspicion, "_is_convicted", lambda record, *, only: False),
 }
 
 
@@ -180,7 +180,7 @@
 @then("it may go anywhere")
 def _(context):
     assert context.suspects.convicted_s(context.asked) == 0
-    assert not context.suspects.record(context.asked).apart
+    assert not context.suspects.record(context.asked).isolated
 
 
 @when("a request is convicted")
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -62,7 +62,7 @@
 
     def heard():
         made._tell()
-        return len(made.entries.heard) == 2
+        return len(made.entries.reachable) == 2
 
     return heard
 
@@ -172,10 +172,10 @@
     clocks = machine_clocks.Clocks()
     empty = rate_limit.Bucket(0.0, clocks.monotonic())
     clocks.suspend(seconds)
-    context.bucket = rate_limit.filled(empty, 1.0, clocks.monotonic())
+    context.bucket = rate_limit.refilled(empty, 1.0, clocks.monotonic())
 
 
 @then("one request may go, and not more")
 def _(context):
     assert rate_limit.wait_s(context.bucket, 1.0) == 0
-    assert rate_limit.wait_s(rate_limit.taken(context.bucket), 1.0) > 0
+    assert rate_limit.wait_s(rate_limit.debited(context.bucket), 1.0) > 0
--- a/packages/reelscale-core/src/reelscale_core/admission.py
+++ b/packages/reelscale-core/src/reelscale_core/admission.py
@@ -20,13 +20,13 @@
 CLASSES = 8
 # Weight of the newest interval in the estimate of the drain rate.
 SMOOTHING = 0.1
-SHORTEST_RETRY_S = 1.0
-LONGEST_RETRY_S = 60.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 60.0
 # Callers are told to come back within this factor after the earliest time.
 RETRY_SPREAD = 1.0
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request in the queue; sorts by its tag, then by arrival.
 
     Attributes:
@@ -54,12 +54,12 @@
     Attributes:
       code: "queue-full", "deadline" or "displaced".
       retry_after_s: Seconds after which to come back.
-      waiting: The request concerned.
+      request: The request concerned.
     """
 
     code: str
     retry_after_s: float
-    waiting: Waiting
+    request: QueuedRequest
 
 
 class Pace(NamedTuple):
@@ -87,18 +87,20 @@
     """The queue of one priority class."""
 
     def __init__(self) -> None:
-        self.heap: list[Waiting] = []
+        self.heap: list[QueuedRequest] = []
         self.live: set[int] = set()
         self.virtual = 0.0
         self.finish: dict[str, float] = {}
-        self.rows_by_workspace: dict[str, collections.deque[Waiting]] = {}
+        self.rows_by_workspace: dict[
+            str, collections.deque[QueuedRequest]
+        ] = {}
         self.pace_by_workspace: dict[str, Pace] = {}
         self._greedy: list[tuple[int, str]] = []
 
     def tag(self, workspace: str) -> float:
         return max(self.virtual, self.finish.get(workspace, 0.0))
 
-    def push(self, entry: Waiting, cost: float) -> None:
+    def push(self, entry: QueuedRequest, cost: float) -> None:
         self.finish[entry.workspace] = entry.tag + cost
         self.live.add(entry.number)
         rows = self.rows_by_workspace.setdefault(
@@ -108,7 +110,7 @@
         heapq.heappush(self.heap, entry)
         heapq.heappush(self._greedy, (-len(rows), entry.workspace))
 
-    def head(self) -> Waiting | None:
+    def head(self) -> QueuedRequest | None:
         while self.heap and self.heap[0].number not in self.live:
             heapq.heappop(self.heap)
         if self.heap:
@@ -118,7 +120,7 @@
         self._greedy.clear()
         return None
 
-    def serve(self, entry: Waiting, now: float) -> None:
+    def serve(self, entry: QueuedRequest, now: float) -> None:
         self.virtual = max(self.virtual, entry.tag)
         self.forget(entry)
         name = entry.workspace
@@ -130,7 +132,7 @@
     def waiting(self, workspace: str) -> int:
         return len(self.rows_by_workspace.get(workspace, ()))
 
-    def forget(self, entry: Waiting) -> None:
+    def forget(self, entry: QueuedRequest) -> None:
         self.live.discard(entry.number)
         rows = self.rows_by_workspace[entry.workspace]
         rows.remove(entry)
@@ -173,7 +175,7 @@
         deadline: float,
         now: float,
         item: Any,
-    ) -> tuple[Waiting | None, Refusal | None]:
+    ) -> tuple[QueuedRequest | None, Refusal | None]:
         """Queue a request or refuse one.
 
         Returns:
@@ -181,7 +183,7 @@
           there when the newcomer displaced one of a greedier workspace.
         """
         queue = self._classes[priority]
-        entry = Waiting(
+        entry = QueuedRequest(
             queue.tag(workspace),
             next(self._numbers),
             id,
@@ -202,7 +204,7 @@
         queue.push(entry, 1 / weight)
         return entry, refusal
 
-    def head(self) -> Waiting | None:
+    def head(self) -> QueuedRequest | None:
         """Return the request to serve next, leaving it in the queue."""
         for queue in self._classes:
             entry = queue.head()
@@ -210,12 +212,12 @@
                 return entry
         return None
 
-    def take(self, entry: Waiting, now: float) -> None:
+    def take(self, entry: QueuedRequest, now: float) -> None:
         """Take the head out, to be served."""
         self._classes[entry.priority].serve(entry, now)
         self._pace = self._pace.taken(now, more=len(self) > 0)
 
-    def drop(self, entry: Waiting) -> bool:
+    def drop(self, entry: QueuedRequest) -> bool:
         """Take a request out, as when its caller left; False if gone."""
         queue = self._classes[entry.priority]
         if entry.number not in queue.live:
@@ -245,11 +247,13 @@
 
     def retry_after_s(self, id: str, workspace: str, priority: int) -> float:
         """Return when to come back, spread by id so that none crowd."""
-        base = max(SHORTEST_RETRY_S, self.wait_s(workspace, priority))
+        base = max(MIN_RETRY_AFTER_S, self.wait_s(workspace, priority))
         spread = rendezvous.score(id, "retry") / 2**64
-        return min(base * (1 + RETRY_SPREAD * spread), LONGEST_RETRY_S)
+        return min(base * (1 + RETRY_SPREAD * spread), MAX_RETRY_AFTER_S)
 
-    def _displaced(self, queue: _Class, workspace: str) -> Waiting | None:
+    def _displaced(
+        self, queue: _Class, workspace: str
+    ) -> QueuedRequest | None:
         """Find the last request of a workspace that waits for more."""
         rows = queue.rows_by_workspace
         greedy = queue.greediest()
@@ -257,6 +261,6 @@
             return None
         return rows[greedy][-1]
 
-    def _refusal(self, code: str, entry: Waiting) -> Refusal:
+    def _refusal(self, code: str, entry: QueuedRequest) -> Refusal:
         after = self.retry_after_s(entry.id, entry.workspace, entry.priority)
         return Refusal(code, math.ceil(after), entry)
--- a/packages/reelscale-core/src/reelscale_core/answer.py
+++ b/packages/reelscale-core/src/reelscale_core/answer.py
@@ -33,7 +33,7 @@
         """Start with nothing of an attempt."""
         self.attempt = attempt
         self.seq = 0
-        self.whole = False
+        self.complete = False
         self.dropped = 0
         self._digest = hashlib.blake2b(digest_size=8)
 
@@ -44,7 +44,7 @@
           The chunks that are new, in order; empty for a fragment that is
           of another attempt, repeated, or ahead of a gap.
         """
-        if fragment.attempt != self.attempt or self.whole:
+        if fragment.attempt != self.attempt or self.complete:
             self.dropped += len(fragment.chunks)
             return []
         skip = self.seq - fragment.from_seq
@@ -57,7 +57,7 @@
             self._digest.update(chunk)
         self.seq += len(new)
         if fragment.count is not None:
-            self.whole = (
+            self.complete = (
                 self.seq == fragment.count
                 and self._digest.hexdigest() == fragment.digest
             )
--- a/packages/reelscale-core/src/reelscale_core/backoff.py
+++ b/packages/reelscale-core/src/reelscale_core/backoff.py
@@ -19,7 +19,7 @@
 STATUSES = (429, 503)
 # No upstream is left alone for longer, in seconds, whatever it asks for: one
 # that is sound again must not be lost for good.
-LONGEST_S = 3600.0
+MAX_BACKOFF_S = 3600.0
 
 
 class Backoff(NamedTuple):
@@ -27,23 +27,23 @@
 
     Attributes:
       until: Monotonic seconds up to which it wants nothing.
-      heard_at: Unix time of its last refusal, in seconds.
+      received_at: Unix time of its last refusal, in seconds.
     """
 
     until: float
-    heard_at: float
+    received_at: float
 
 
-def stated_s(retry_after: str) -> float | None:
+def parse_retry_after(retry_after: str) -> float | None:
     """Return the seconds that a Retry-After states; None if it states none.
 
     A date is not read: clocks of machines differ by more than upstreams ask.
     """
     seconds = number.decimal(retry_after)
-    return None if seconds is None else min(seconds, LONGEST_S)
+    return None if seconds is None else min(seconds, MAX_BACKOFF_S)
 
 
-def asked(old: Backoff | None, seconds: float, clock: Clock) -> Backoff:
+def extended(old: Backoff | None, seconds: float, clock: Clock) -> Backoff:
     """Return what counts once an upstream asks again.
 
     Each answer binds by itself, and they may overtake one another: the one
@@ -55,6 +55,6 @@
     return Backoff(until, clock.wall())
 
 
-def left_s(backoff: Backoff | None, now: float) -> float:
+def remaining_s(backoff: Backoff | None, now: float) -> float:
     """Return for how long an upstream wants nothing more, in seconds."""
     return 0.0 if backoff is None else max(0.0, backoff.until - now)
--- a/packages/reelscale-core/src/reelscale_core/circuit.py
+++ b/packages/reelscale-core/src/reelscale_core/circuit.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 FAILURES_TO_OPEN = 5
-FIRST_OPEN_S = 1.0
-LONGEST_OPEN_S = 30.0
+INITIAL_OPEN_S = 1.0
+MAX_OPEN_S = 30.0
 
 
 class Circuit(NamedTuple):
@@ -58,5 +58,5 @@
     failures = circuit.failures + 1
     if not circuit.open_s and failures < FAILURES_TO_OPEN:
         return Circuit(failures=failures)
-    open_s = min(max(FIRST_OPEN_S, 2 * circuit.open_s), LONGEST_OPEN_S)
+    open_s = min(max(INITIAL_OPEN_S, 2 * circuit.open_s), MAX_OPEN_S)
     return Circuit(failures, now + open_s, open_s)
--- a/packages/reelscale-core/src/reelscale_core/demand.py
+++ b/packages/reelscale-core/src/reelscale_core/demand.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class Counted(NamedTuple):
+class Counters(NamedTuple):
     """Counters of one rank.
 
     Attributes:
@@ -38,12 +38,12 @@
 
     at: float = float("-inf")
     recent: tuple[float, ...] = ()
-    last_by_name: Mapping[str, Counted] = {}
+    last_by_name: Mapping[str, Counters] = {}
 
 
 def observed(
     demand: Demand,
-    counted_by_name: Mapping[str, Counted],
+    counted_by_name: Mapping[str, Counters],
     *,
     now: float,
     half_life_s: float,
@@ -83,7 +83,7 @@
     return [demand.recent[start : start + experts] for start in starts]
 
 
-def _difference(new: Counted, old: Counted) -> list[int]:
+def _difference(new: Counters, old: Counters) -> list[int]:
     if len(new.counts) != len(old.counts):
         return []
     pairs = zip(new.counts, old.counts, strict=True)
--- a/packages/reelscale-core/src/reelscale_core/events.py
+++ b/packages/reelscale-core/src/reelscale_core/events.py
@@ -10,7 +10,7 @@
 END = b"\n\n"
 ID = b"id:"
 # An event longer than this many bytes is taken as garbage.
-LONGEST = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 
 
 class Event(NamedTuple):
@@ -25,7 +25,7 @@
     data: bytes
 
 
-class Cutter:
+class EventParser:
     """Cuts the bytes of one stream into events as they come."""
 
     def __init__(self) -> None:
@@ -40,10 +40,10 @@
         """Take bytes; return the events that they make whole.
 
         Raises:
-          ValueError: An event is longer than LONGEST.
+          ValueError: An event is longer than MAX_EVENT_BYTES.
         """
         *whole, self._rest = (self._rest + data).split(END)
-        if len(self._rest) > LONGEST:
+        if len(self._rest) > MAX_EVENT_BYTES:
             raise ValueError("an event is too long")
         return [Event(_id(item), item + END) for item in whole]
 
--- a/packages/reelscale-core/src/reelscale_core/gate.py
+++ b/packages/reelscale-core/src/reelscale_core/gate.py
@@ -13,10 +13,10 @@
 
 # Tombstones are kept this long, and at most this many.
 TOMBSTONE_S = 600.0
-MOST_TOMBSTONES = 200_000
+MAX_TOMBSTONES = 200_000
 
 
-class Answer(NamedTuple):
+class Decision(NamedTuple):
     """What the gate says to an attempt.
 
     Attributes:
@@ -34,11 +34,11 @@
     """What is kept of an attempt that is over.
 
     Attributes:
-      at: Monotonic seconds at which it was over.
+      ended_at: Monotonic seconds at which it was over.
       started: Whether the upstream may have run it.
     """
 
-    at: float
+    ended_at: float
     started: bool
 
 
@@ -52,15 +52,15 @@
         # Monotonic seconds up to which the upstream wants nothing.
         self._backed_off_until = float("-inf")
         self.running: dict[str, str] = {}
-        self._dead: OrderedDict[str, Tombstone] = OrderedDict()
+        self._tombstones: OrderedDict[str, Tombstone] = OrderedDict()
 
-    def submit(self, attempt: str, entry: str, now: float) -> Answer:
+    def submit(self, attempt: str, entry: str, now: float) -> Decision:
         """Judge an attempt that arrived."""
         self._expire(now)
-        if attempt in self._dead:
-            return Answer(False, code="cancelled")
+        if attempt in self._tombstones:
+            return Decision(False, code="cancelled")
         if attempt in self.running:
-            return Answer(True, repeated=True)
+            return Decision(True, repeated=True)
         if self.leaving:
             return self._refuse(attempt, now, "leaving")
         if now < self._backed_off_until:
@@ -68,17 +68,17 @@
         if len(self.running) >= self.capacity:
             return self._refuse(attempt, now, "busy")
         self.running[attempt] = entry
-        return Answer(True)
+        return Decision(True)
 
     def back_off(self, until: float) -> None:
         """Admit nothing up to a time; the latest that is asked for counts."""
         self._backed_off_until = max(self._backed_off_until, until)
 
-    def takes_work(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Tell whether the upstream takes new work, if it has room."""
         return not self.leaving and now >= self._backed_off_until
 
-    def refuse(self, attempt: str, now: float, code: str) -> Answer:
+    def refuse(self, attempt: str, now: float, code: str) -> Decision:
         """Refuse an attempt for a reason that lies outside the gate."""
         self.running.pop(attempt, None)
         return self._refuse(attempt, now, code)
@@ -86,7 +86,7 @@
     def finish(self, attempt: str, now: float) -> None:
         """Note that an attempt has ended; a late copy is refused."""
         self.running.pop(attempt, None)
-        self._bury(attempt, now, started=True)
+        self._leave_tombstone(attempt, now, started=True)
 
     def cancel(self, attempt: str, now: float) -> bool:
         """Kill an attempt that has not started.
@@ -98,23 +98,25 @@
         self._expire(now)
         if attempt in self.running:
             return False
-        if attempt in self._dead:
-            return not self._dead[attempt].started
-        self._bury(attempt, now, started=False)
+        if attempt in self._tombstones:
+            return not self._tombstones[attempt].started
+        self._leave_tombstone(attempt, now, started=False)
         return True
 
-    def _refuse(self, attempt: str, now: float, code: str) -> Answer:
-        self._bury(attempt, now, started=False)
-        return Answer(False, code=code)
+    def _refuse(self, attempt: str, now: float, code: str) -> Decision:
+        self._leave_tombstone(attempt, now, started=False)
+        return Decision(False, code=code)
 
-    def _bury(self, attempt: str, now: float, *, started: bool) -> None:
-        self._dead[attempt] = Tombstone(now, started)
-        self._dead.move_to_end(attempt)
+    def _leave_tombstone(
+        self, attempt: str, now: float, *, started: bool
+    ) -> None:
+        self._tombstones[attempt] = Tombstone(now, started)
+        self._tombstones.move_to_end(attempt)
 
     def _expire(self, now: float) -> None:
-        while self._dead:
-            oldest, stone = next(iter(self._dead.items()))
-            young = now - stone.at < TOMBSTONE_S
-            if young and len(self._dead) <= MOST_TOMBSTONES:
+        while self._tombstones:
+            oldest, tombstone = next(iter(self._tombstones.items()))
+            recent = now - tombstone.ended_at < TOMBSTONE_S
+            if recent and len(self._tombstones) <= MAX_TOMBSTONES:
                 return
-            del self._dead[oldest]
+            del self._tombstones[oldest]
--- a/packages/reelscale-core/src/reelscale_core/grant.py
+++ b/packages/reelscale-core/src/reelscale_core/grant.py
@@ -11,34 +11,34 @@
 from collections.abc import Mapping
 
 # An entry keeps its grant this long without hearing from the agent.
-LAPSE_S = 2.0
+EXPIRY_S = 2.0
 
 
 def shares(
-    capacity: int, wanted_by_entry: Mapping[str, int]
+    capacity: int, demand_by_entry: Mapping[str, int]
 ) -> dict[str, int]:
     """Divide slots by max-min fairness, the rest evenly as headroom.
 
     Args:
       capacity: Slots of the upstream.
-      wanted_by_entry: Requests that each entry runs or has waiting.
+      demand_by_entry: Requests that each entry runs or has waiting.
 
     Returns:
       Slots by entry, each at least 1 so that a quiet entry can start;
       they sum to the capacity where there are at most that many entries.
     """
-    if not wanted_by_entry:
+    if not demand_by_entry:
         return {}
-    left = max(capacity, len(wanted_by_entry))
-    result = dict.fromkeys(wanted_by_entry, 0)
+    remaining = max(capacity, len(demand_by_entry))
+    result = dict.fromkeys(demand_by_entry, 0)
     names = sorted(
-        wanted_by_entry, key=lambda name: (wanted_by_entry[name], name)
+        demand_by_entry, key=lambda name: (demand_by_entry[name], name)
     )
     for index, name in enumerate(names):
-        fair = left // (len(names) - index)
-        want = max(1, wanted_by_entry[name])
-        result[name] = min(want, fair)
-        left -= result[name]
+        fair = remaining // (len(names) - index)
+        demand = max(1, demand_by_entry[name])
+        result[name] = min(demand, fair)
+        remaining -= result[name]
     for index, name in enumerate(sorted(names)):
-        result[name] += (left + index) // len(names)
+        result[name] += (remaining + index) // len(names)
     return result
--- a/packages/reelscale-core/src/reelscale_core/lockstep.py
+++ b/packages/reelscale-core/src/reelscale_core/lockstep.py
@@ -111,7 +111,7 @@
 Order = Probe | Stage | Prepare | Decide | Commit | Release | Adopt
 
 
-def obey(rank: Rank, order: Order) -> tuple[Rank, bool]:
+def apply_order(rank: Rank, order: Order) -> tuple[Rank, bool]:
     """Apply an order to a rank.
 
     Returns:
@@ -129,9 +129,9 @@
         case Prepare(version=version, step=step):
             return _prepare(rank, version, step)
         case Decide(version=version, step=step):
-            return _settle(rank, version, step, committed=False)
+            return _decide(rank, version, step, committed=False)
         case Commit(version=version, step=step):
-            return _settle(rank, version, step, committed=True)
+            return _decide(rank, version, step, committed=True)
         case Release():
             if rank.decided:
                 return rank, False
@@ -140,7 +140,7 @@
             return _adopt(rank, order)
 
 
-def begins(rank: Rank, step: int) -> int:
+def layout_at(rank: Rank, step: int) -> int:
     """Return the layout that a rank runs a step on; 0 if it must wait."""
     if rank.version == 0:
         return 0
@@ -149,7 +149,7 @@
     return rank.next_version if rank.committed else 0
 
 
-def reached(rank: Rank) -> int:
+def reached_step(rank: Rank) -> int:
     """Return a step that the group is known to have begun.
 
     No rank, not even one that was lost since, has begun a step more than
@@ -159,7 +159,7 @@
 
 
 def advance(rank: Rank, step: int) -> Rank:
-    """Note that a rank begins a step, which begins() allowed."""
+    """Note that a rank layout_at a step, which layout_at() allowed."""
     rank = rank._replace(step=step)
     if rank.next_version and step >= rank.next_step:
         return rank._replace(
@@ -188,7 +188,7 @@
     return rank._replace(next_version=version, next_step=step), True
 
 
-def _settle(
+def _decide(
     rank: Rank, version: int, step: int, *, committed: bool
 ) -> tuple[Rank, bool]:
     if rank.version == version and not rank.next_version:
--- a/packages/reelscale-core/src/reelscale_core/outage.py
+++ b/packages/reelscale-core/src/reelscale_core/outage.py
@@ -14,42 +14,42 @@
 
 # The group is out when so many of its upstreams have refused in a row; a
 # single one may be full or leaving.
-REFUSALS = 3
+MIN_REFUSALS = 3
 # One request is let through this often, in seconds: a tenth of what callers
 # are asked to wait, so that the end is seen well before most are back.
-TRY_EVERY_S = 0.25
+PROBE_INTERVAL_S = 0.25
 # A caller who is to come back once waits no longer than this part of the
 # time that it has left; the longer, the likelier the group is back.
-LONGEST_WAIT = 0.33
+MAX_WAIT_FRACTION = 0.33
 
 
 class Outage(NamedTuple):
     """How a group answered lately, as one entry saw it.
 
     Attributes:
-      refused: Upstreams that refused since the group last got on with work.
-      tried_at: Monotonic seconds of the last request let through.
+      refusing: Upstreams that refused since the group last got on with work.
+      probed_at: Monotonic seconds of the last request let through.
     """
 
-    refused: frozenset[str] = frozenset()
-    tried_at: float = float("-inf")
+    refusing: frozenset[str] = frozenset()
+    probed_at: float = float("-inf")
 
     @property
     def out(self) -> bool:
         """Whether the group refuses work."""
-        return len(self.refused) >= REFUSALS
+        return len(self.refusing) >= MIN_REFUSALS
 
 
-def refused(outage: Outage, upstream: str, now: float) -> Outage:
+def record_refusal(outage: Outage, upstream: str, now: float) -> Outage:
     """Note that an upstream refused a request without running it."""
-    return Outage(outage.refused | {upstream}, now)
+    return Outage(outage.refusing | {upstream}, now)
 
 
-def lets_through(outage: Outage, now: float) -> bool:
+def allows(outage: Outage, now: float) -> bool:
     """Tell whether a request may go to the group now."""
-    return not outage.out or now - outage.tried_at >= TRY_EVERY_S
+    return not outage.out or now - outage.probed_at >= PROBE_INTERVAL_S
 
 
-def retry_after_s(left_s: float) -> float:
+def retry_after_s(remaining_s: float) -> float:
     """Return when a refused caller should come back, in seconds."""
-    return max(0.0, left_s * LONGEST_WAIT)
+    return max(0.0, remaining_s * MAX_WAIT_FRACTION)
--- a/packages/reelscale-core/src/reelscale_core/rate_limit.py
+++ b/packages/reelscale-core/src/reelscale_core/rate_limit.py
@@ -28,24 +28,24 @@
 SLACK = 5
 # Entries that were cut into parts together send at most this many times the
 # limit.
-PARTED = 1.25
+PARTITION_FACTOR = 1.25
 # A limit of nothing still lets a request through now and then, in requests a
 # second of all entries: only an answer can tell that the limit is over.
-LEAST_PER_S = 0.25
+MIN_PER_S = 0.25
 # The depth of a bucket, in requests.
-DEPTH = 1.0
+BUCKET_DEPTH = 1.0
 
 
-class Told(NamedTuple):
+class LimitReport(NamedTuple):
     """What one start of an upstream said of its limit.
 
     Attributes:
       per_s: Requests a second of all entries; None once there is no limit.
-      at: Monotonic seconds at which its answer came.
+      received_at: Monotonic seconds at which its answer came.
     """
 
     per_s: float | None
-    at: float
+    received_at: float
 
 
 class Entries(NamedTuple):
@@ -53,12 +53,12 @@
 
     Attributes:
       name: The one that asks.
-      heard: Names of those heard of now, its own included.
+      reachable: Names of those heard of now, its own included.
       known: How many were known lately; at least as many.
     """
 
     name: str
-    heard: Collection[str]
+    reachable: Collection[str]
     known: int
 
 
@@ -67,19 +67,19 @@
 
     Attributes:
       tokens: Requests, with a fraction.
-      at: Monotonic seconds to which it is filled.
+      refilled_at: Monotonic seconds to which it is refilled.
     """
 
     tokens: float
-    at: float
+    refilled_at: float
 
 
-def newest(old: Told | None, new: Told) -> Told:
+def newest(old: LimitReport | None, new: LimitReport) -> LimitReport:
     """Return what counts of two statements of one start.
 
     One that came late, over another entry, does not undo a newer one.
     """
-    return new if old is None or new.at > old.at else old
+    return new if old is None or new.received_at > old.received_at else old
 
 
 def senders(per_s: float) -> int:
@@ -95,23 +95,23 @@
       upstream: The start of the upstream; tells who may send.
       entries: Who shares it.
     """
-    per_s = max(per_s, LEAST_PER_S)
-    among = rendezvous.order(upstream, entries.heard)[: senders(per_s)]
+    per_s = max(per_s, MIN_PER_S)
+    among = rendezvous.order(upstream, entries.reachable)[: senders(per_s)]
     if entries.name not in among:
         return 0.0
-    heard = len(entries.heard) / max(entries.known, len(entries.heard))
-    return per_s * min(1.0, PARTED * heard) / len(among)
+    heard = len(entries.reachable) / max(entries.known, len(entries.reachable))
+    return per_s * min(1.0, PARTITION_FACTOR * heard) / len(among)
 
 
-def filled(bucket: Bucket | None, per_s: float, now: float) -> Bucket:
+def refilled(bucket: Bucket | None, per_s: float, now: float) -> Bucket:
     """Return a bucket as it is now; a new one holds what it can."""
     if bucket is None:
-        return Bucket(DEPTH if per_s else 0.0, now)
-    tokens = bucket.tokens + per_s * max(0.0, now - bucket.at)
-    return Bucket(min(DEPTH, tokens), now)
+        return Bucket(BUCKET_DEPTH if per_s else 0.0, now)
+    tokens = bucket.tokens + per_s * max(0.0, now - bucket.refilled_at)
+    return Bucket(min(BUCKET_DEPTH, tokens), now)
 
 
-def taken(bucket: Bucket) -> Bucket:
+def debited(bucket: Bucket) -> Bucket:
     """Take a request out; below zero where it was sent all the same."""
     return bucket._replace(tokens=bucket.tokens - 1.0)
 
@@ -121,7 +121,7 @@
 
     Args:
       bucket: As it is now.
-      per_s: What it is filled with.
+      per_s: What it is refilled with.
       ahead: Requests that go before it.
     """
     missing = 1.0 + ahead - bucket.tokens
@@ -136,4 +136,4 @@
     Args:
       limits: Requests a second that upstreams take of all entries.
     """
-    return 1.0 / max(LEAST_PER_S, sum(limits))
+    return 1.0 / max(MIN_PER_S, sum(limits))
--- a/packages/reelscale-core/src/reelscale_core/schedule.py
+++ b/packages/reelscale-core/src/reelscale_core/schedule.py
@@ -32,7 +32,7 @@
 
     Attributes:
       orders: Orders to send, by member.
-      done: Whether all ranks are on the wanted layout.
+      done: Whether all ranks are on the target layout.
       waiting: For whom or what the holder waits, for people.
     """
 
@@ -41,7 +41,7 @@
     waiting: str = ""
 
 
-def note(
+def merge_replies(
     seen: Mapping[str, lockstep.Rank],
     replies: Mapping[str, lockstep.Rank | None],
 ) -> dict[str, lockstep.Rank]:
@@ -61,7 +61,7 @@
     lost = {
         name: rank
         for name, rank in fresh.items()
-        if rank.version == 0 and not _same_loss(seen.get(name), rank)
+        if rank.version == 0 and not _is_same_loss(seen.get(name), rank)
     }
     kept = {name: rank for name, rank in seen.items() if name not in replies}
     if lost:
@@ -70,7 +70,7 @@
     return {**kept, **fresh}
 
 
-def _same_loss(before: lockstep.Rank | None, now: lockstep.Rank) -> bool:
+def _is_same_loss(before: lockstep.Rank | None, now: lockstep.Rank) -> bool:
     return (
         before is not None
         and before.version == 0
@@ -82,7 +82,7 @@
     ranks_by_member: Mapping[str, lockstep.Rank],
     members: frozenset[str],
     *,
-    wanted: int,
+    target: int,
     fence: int,
     seq: int,
     margin: int = MARGIN_STEPS,
@@ -93,36 +93,40 @@
       ranks_by_member: Newest state of each member that has answered a
         probe under this fence.
       members: All members of the group.
-      wanted: Layout version that the configuration asks for.
+      target: Layout version that the configuration asks for.
       fence: Fence of the holder's lease.
       seq: Number of this round, higher than of any before it.
       margin: How far ahead of the furthest rank the prepared step lies.
     """
     stamp = lockstep.Stamp(fence, seq)
-    silent = members - ranks_by_member.keys()
-    if silent:
-        orders = {name: lockstep.Probe(*stamp) for name in sorted(silent)}
-        return Round(orders, waiting=f"answers of {', '.join(sorted(silent))}")
+    unresponsive = members - ranks_by_member.keys()
+    if unresponsive:
+        orders = {
+            name: lockstep.Probe(*stamp) for name in sorted(unresponsive)
+        }
+        return Round(
+            orders, waiting=f"answers of {', '.join(sorted(unresponsive))}"
+        )
     ranks = dict(ranks_by_member)
     lost = {name for name, rank in ranks.items() if rank.version == 0}
     if lost == set(members):
-        return _found(ranks, wanted, stamp)
+        return _bootstrap(ranks, target, stamp)
     if lost:
         return _rejoin(ranks, lost, stamp)
     decided = [rank for rank in ranks.values() if rank.decided]
     if decided:
         return _finish(ranks, decided[0], stamp)
-    return _change(ranks, wanted, stamp, margin)
+    return _change(ranks, target, stamp, margin)
 
 
-def _found(
-    ranks: Mapping[str, lockstep.Rank], wanted: int, stamp: lockstep.Stamp
+def _bootstrap(
+    ranks: Mapping[str, lockstep.Rank], target: int, stamp: lockstep.Stamp
 ) -> Round:
     """Start a group of which no rank holds anything."""
     return _staged_first(
         ranks,
-        dict.fromkeys(ranks, lockstep.Adopt(*stamp, wanted, 0)),
-        (wanted,),
+        dict.fromkeys(ranks, lockstep.Adopt(*stamp, target, 0)),
+        (target,),
         stamp,
     )
 
@@ -136,17 +140,19 @@
     stands still: they are all on one version for it.
     """
     others = [rank for name, rank in ranks.items() if name not in lost]
-    least = min(others, key=lockstep.reached)
+    furthest_behind = min(others, key=lockstep.reached_step)
     planned = next((rank for rank in others if rank.decided), None)
     ahead = max(others, key=lambda rank: rank.version)
-    order = lockstep.Adopt(*stamp, least.version, lockstep.reached(least))
-    versions: tuple[int, ...] = (least.version,)
-    if planned is not None and planned.next_version != least.version:
+    order = lockstep.Adopt(
+        *stamp, furthest_behind.version, lockstep.reached_step(furthest_behind)
+    )
+    versions: tuple[int, ...] = (furthest_behind.version,)
+    if planned is not None and planned.next_version != furthest_behind.version:
         order = order._replace(
             next_version=planned.next_version, next_step=planned.next_step
         )
         versions += (planned.next_version,)
-    elif ahead.version != least.version:
+    elif ahead.version != furthest_behind.version:
         order = order._replace(
             next_version=ahead.version, next_step=ahead.step
         )
@@ -196,7 +202,7 @@
 
 def _change(
     ranks: Mapping[str, lockstep.Rank],
-    wanted: int,
+    target: int,
     stamp: lockstep.Stamp,
     margin: int,
 ) -> Round:
@@ -204,18 +210,18 @@
     prepared = {name for name, r in ranks.items() if r.next_version}
     if len(versions) > 1:
         return _catch_up(ranks, prepared, max(versions), stamp)
-    if versions == {wanted}:
+    if versions == {target}:
         orders: dict[str, lockstep.Order] = {
             name: lockstep.Release(*stamp) for name in sorted(prepared)
         }
         return Round(orders, done=not orders, waiting="releases")
-    missing = {n for n, r in ranks.items() if wanted not in r.staged}
+    missing = {n for n, r in ranks.items() if target not in r.staged}
     if missing:
         orders = {
-            name: lockstep.Stage(*stamp, wanted) for name in sorted(missing)
+            name: lockstep.Stage(*stamp, target) for name in sorted(missing)
         }
-        return Round(orders, waiting=f"layout {wanted} to be loaded")
-    return _prepare_all(ranks, wanted, stamp, margin)
+        return Round(orders, waiting=f"layout {target} to be loaded")
+    return _prepare_all(ranks, target, stamp, margin)
 
 
 def _catch_up(
@@ -237,7 +243,7 @@
 
 def _prepare_all(
     ranks: Mapping[str, lockstep.Rank],
-    wanted: int,
+    target: int,
     stamp: lockstep.Stamp,
     margin: int,
 ) -> Round:
@@ -245,12 +251,12 @@
     promised = {
         rank.next_step
         for rank in ranks.values()
-        if rank.next_version == wanted
+        if rank.next_version == target
     }
-    every = all(rank.next_version == wanted for rank in ranks.values())
+    every = all(rank.next_version == target for rank in ranks.values())
     if every and len(promised) == 1:
-        decide = lockstep.Decide(*stamp, wanted, promised.pop())
+        decide = lockstep.Decide(*stamp, target, promised.pop())
         return Round(dict.fromkeys(ranks, decide), waiting="decisions")
-    step = max(lockstep.reached(rank) for rank in ranks.values()) + margin
-    prepare = lockstep.Prepare(*stamp, wanted, step)
+    step = max(lockstep.reached_step(rank) for rank in ranks.values()) + margin
+    prepare = lockstep.Prepare(*stamp, target, step)
     return Round(dict.fromkeys(ranks, prepare), waiting="promises")
--- a/packages/reelscale-core/src/reelscale_core/suspicion.py
+++ b/packages/reelscale-core/src/reelscale_core/suspicion.py
@@ -18,17 +18,17 @@
 from typing import NamedTuple
 
 # Crashes after which a request runs only where no other suspect is.
-APART_AFTER = 2
+ISOLATED_AFTER = 2
 # Crashes after which the only suspect is convicted.
 CONVICTED_AFTER = 3
 # The same where nothing else was running at any of them.
-ALONE_AFTER = 2
+SOLE_REQUEST_CONVICTED_AFTER = 2
 # A record lapses after this long without a change, in seconds: callers come
 # again within seconds, and a mistake must not last.
-KEPT_S = 300.0
+RETENTION_S = 300.0
 # So many requests are remembered, some hundred bytes each; one crash adds as
 # many as an upstream has in progress.
-MOST_KEPT = 1024
+MAX_RECORDS = 1024
 DIGEST_BYTES = 8
 
 
@@ -45,20 +45,20 @@
 
     Attributes:
       crashed: Hashes of the starts that crashed while it was there.
-      alone: At how many of them nothing else was running.
+      sole_request_crashes: At how many of them nothing else was running.
       verdict: What is held of it.
-      at: Monotonic seconds of the newest change.
+      updated_at: Monotonic seconds of the newest change.
     """
 
     crashed: frozenset[int] = frozenset()
-    alone: int = 0
+    sole_request_crashes: int = 0
     verdict: Verdict = Verdict.SUSPECTED
-    at: float = 0.0
+    updated_at: float = 0.0
 
     @property
-    def apart(self) -> bool:
+    def isolated(self) -> bool:
         """Whether it may only run where no other suspect is."""
-        many = len(self.crashed) >= APART_AFTER
+        many = len(self.crashed) >= ISOLATED_AFTER
         return many and self.verdict is Verdict.SUSPECTED
 
 
@@ -68,14 +68,14 @@
     Attributes:
       start: Hash of the start.
       digests: The requests that this entry had in progress there.
-      others: Suspects that other entries had there.
-      alone: Whether one request was all that was running there.
+      other_suspects: Suspects that other entries had there.
+      sole_request: Whether one request was all that was running there.
     """
 
     start: int
     digests: frozenset[int]
-    others: frozenset[int] = frozenset()
-    alone: bool = False
+    other_suspects: frozenset[int] = frozenset()
+    sole_request: bool = False
 
 
 def digest(
@@ -103,9 +103,11 @@
     verdict = max(old.verdict, new.verdict)
     return Record(
         crashed=old.crashed | new.crashed,
-        alone=max(old.alone, new.alone),
+        sole_request_crashes=max(
+            old.sole_request_crashes, new.sole_request_crashes
+        ),
         verdict=Verdict(verdict),
-        at=max(old.at, new.at),
+        updated_at=max(old.updated_at, new.updated_at),
     )
 
 
@@ -115,47 +117,48 @@
     def __init__(self) -> None:
         self.by_digest: dict[int, Record] = {}
 
-    def crashed(self, crash: Crash, now: float) -> list[int]:
+    def record_crash(self, crash: Crash, now: float) -> list[int]:
         """Take a crash; return the digests that it convicts."""
         known = {d for d in crash.digests if self._suspected(d)}
-        rivals = known | crash.others
+        rivals = known | crash.other_suspects
         convicted = []
         for item in crash.digests:
-            old = self.by_digest.get(item, Record(at=now))
+            old = self.by_digest.get(item, Record(updated_at=now))
             if old.verdict is not Verdict.SUSPECTED:
                 continue
             new = old._replace(
                 crashed=old.crashed | {crash.start},
-                alone=old.alone + crash.alone,
-                at=now,
+                sole_request_crashes=old.sole_request_crashes
+                + crash.sole_request,
+                updated_at=now,
             )
-            if _guilty(new, only=rivals <= {item}):
+            if _is_convicted(new, only=rivals <= {item}):
                 new = new._replace(verdict=Verdict.CONVICTED)
                 convicted.append(item)
             self._keep(item, new)
         return convicted
 
-    def ended_well(self, item: int, now: float) -> bool:
+    def clear(self, item: int, now: float) -> bool:
         """Clear a request for good; tell whether that changes anything."""
         old = self.by_digest.get(item)
         if old is None or old.verdict is not Verdict.SUSPECTED:
             return False
-        self._keep(item, old._replace(verdict=Verdict.CLEARED, at=now))
+        self._keep(item, old._replace(verdict=Verdict.CLEARED, updated_at=now))
         return True
 
-    def learn(self, item: int, record: Record) -> None:
+    def merge(self, item: int, record: Record) -> None:
         """Take what another entry knows."""
         self._keep(item, merged(self.by_digest.get(item), record))
 
     def record(self, item: int, now: float) -> Record | None:
         """Return what is known of a request, None once that has lapsed."""
         found = self.by_digest.get(item)
-        if found is not None and now - found.at > KEPT_S:
+        if found is not None and now - found.updated_at > RETENTION_S:
             del self.by_digest[item]
             return None
         return found
 
-    def lapse(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forget what has lapsed."""
         for item in list(self.by_digest):
             self.record(item, now)
@@ -168,23 +171,26 @@
         """Keep a record, the newest last."""
         self.by_digest.pop(item, None)
         self.by_digest[item] = record
-        while len(self.by_digest) > MOST_KEPT:
-            del self.by_digest[_least_telling(self.by_digest.items())]
+        while len(self.by_digest) > MAX_RECORDS:
+            del self.by_digest[_eviction_candidate(self.by_digest.items())]
 
 
-def _guilty(record: Record, *, only: bool) -> bool:
+def _is_convicted(record: Record, *, only: bool) -> bool:
     """Tell whether a request must be what crashes upstreams.
 
     Args:
       record: What is known of it, the newest crash included.
       only: Whether it was the only suspect at that crash.
     """
-    if record.alone >= ALONE_AFTER and record.alone == len(record.crashed):
+    if (
+        record.sole_request_crashes >= SOLE_REQUEST_CONVICTED_AFTER
+        and record.sole_request_crashes == len(record.crashed)
+    ):
         return True
     return only and len(record.crashed) >= CONVICTED_AFTER
 
 
-def _least_telling(rows: Iterable[tuple[int, Record]]) -> int:
+def _eviction_candidate(rows: Iterable[tuple[int, Record]]) -> int:
     """Return the request whose record is given up first.
 
     Convictions are kept longest, then those at many crashes, then the newest.
@@ -194,6 +200,6 @@
         key=lambda row: (
             row[1].verdict is Verdict.CONVICTED,
             len(row[1].crashed),
-            row[1].at,
+            row[1].updated_at,
         ),
     )[0]
--- a/packages/reelscale-core/src/reelscale_core/waiting.py
+++ b/packages/reelscale-core/src/reelscale_core/waiting.py
@@ -5,10 +5,10 @@
 
 # Requests may wait at an upstream for this part of the time in which an
 # answer is wanted; the rest is for the work itself.
-SHARE = 0.3
+QUEUE_TIME_SHARE = 0.3
 
 
-def room(slots: int, *, goal_s: float, takes_s: float | None) -> int:
+def queue_capacity(slots: int, *, goal_s: float, takes_s: float | None) -> int:
     """Return how many requests may wait at an upstream for a slot.
 
     Args:
@@ -18,4 +18,4 @@
     """
     if not takes_s:
         return 0
-    return min(slots, int(goal_s * SHARE * slots / takes_s))
+    return min(slots, int(goal_s * QUEUE_TIME_SHARE * slots / takes_s))
--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/base.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/base.py
@@ -83,7 +83,7 @@
         """Return what the rank reports now."""
         ...
 
-    async def counted(self) -> demand.Counted:
+    async def counted(self) -> demand.Counters:
         """Return how often its requests have chosen each expert."""
         ...
 
@@ -183,7 +183,7 @@
     if stated is None:
         return None
     text = stated.decode("latin-1")
-    seconds = backoff.stated_s(text)
+    seconds = backoff.parse_retry_after(text)
     if seconds is None:
         LOG.warning("A Retry-After cannot be read.", text=text[:40])
     return seconds
--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/upstream.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/upstream.py
@@ -49,7 +49,7 @@
         if self.status not in backoff.STATUSES:
             return None
         by_name = {name.lower(): value for name, value in self.headers}
-        return backoff.stated_s(by_name.get("retry-after", ""))
+        return backoff.parse_retry_after(by_name.get("retry-after", ""))
 
 
 class Sink(NamedTuple):
--- a/packages/reelscale-daemon/src/reelscale_daemon/agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/agent.py
@@ -127,7 +127,7 @@
         self._streams.gate.leaving = True
         # Until every grant has lapsed, entries that have not heard yet may
         # send; they get a refusal instead of a connection that breaks.
-        await task.deferLater(base.reactor, grant.LAPSE_S + ARRIVAL_S)
+        await task.deferLater(base.reactor, grant.EXPIRY_S + ARRIVAL_S)
         while self._streams.gate.running or self._streams.unfetched():
             await task.deferLater(base.reactor, process.STOP_POLL_S)
         self._layouts.stop()
@@ -236,17 +236,17 @@
         fresh = {
             name: wanted
             for name, (at, wanted) in self._beats.items()
-            if now - at < grant.LAPSE_S
+            if now - at < grant.EXPIRY_S
         }
         self._beats = {name: self._beats[name] for name in fresh}
         slots = 0
-        if self._streams.gate.takes_work(now) and entry in fresh:
+        if self._streams.gate.accepts_work(now) and entry in fresh:
             capacity = self._streams.gate.capacity
             slots = grant.shares(capacity, fresh)[entry]
         return ttypes.Grant(
             upstream=self._base.settings.name,
             slots=slots,
-            lapse_ms=int(grant.LAPSE_S * 1000),
+            lapse_ms=int(grant.EXPIRY_S * 1000),
         )
 
     def _follow(self) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
@@ -50,7 +50,7 @@
         """Take what a refusal of an upstream asks."""
         now = self._clock.monotonic()
         old = self._backoffs_by_start.get(start.key)
-        self._backoffs_by_start[start.key] = backoff.asked(
+        self._backoffs_by_start[start.key] = backoff.extended(
             old, seconds, self._clock
         )
         self._metrics.backoffs.inc({"upstream": start.name})
@@ -58,7 +58,7 @@
             "An upstream wants no requests for a while.",
             upstream=start.key,
             seconds=seconds,
-            left_before_s=round(backoff.left_s(old, now), 3),
+            left_before_s=round(backoff.remaining_s(old, now), 3),
         )
         self._forget(now)
 
@@ -67,7 +67,7 @@
     ) -> None:
         """Forget a start in whose place another is, but for what is its."""
         found = self._backoffs_by_start.pop(before.key, None)
-        if found is not None and start.was_running_at(found.heard_at):
+        if found is not None and start.was_running_at(found.received_at):
             self._backoffs_by_start[start.key] = found
 
     def blocks(self, start: announcement.Start) -> bool:
@@ -80,7 +80,7 @@
     def left_s(self, start: announcement.Start) -> float:
         """Return for how long a start wants nothing more; 0 if it may."""
         found = self._backoffs_by_start.get(start.key)
-        return backoff.left_s(found, self._clock.monotonic())
+        return backoff.remaining_s(found, self._clock.monotonic())
 
     def count(self) -> int:
         """Return how many starts want nothing just now."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
@@ -187,7 +187,7 @@
             members = frozenset(self._members(group))
             wanted = group.layout.version
             plan = schedule.plan_round(
-                ranks, members, wanted=wanted, fence=held.fence, seq=self._seq
+                ranks, members, target=wanted, fence=held.fence, seq=self._seq
             )
             if plan.done:
                 LOG.info(
@@ -216,7 +216,9 @@
                 for name in names
             ]
         )
-        return schedule.note(ranks, dict(zip(names, replies, strict=True)))
+        return schedule.merge_replies(
+            ranks, dict(zip(names, replies, strict=True))
+        )
 
     async def _send(
         self, group: model.Group, name: str, order: lockstep.Order
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
@@ -49,7 +49,7 @@
             return True
         now = self._clock.monotonic()
         return any(
-            outage.lets_through(self._outage(asked.target, group), now)
+            outage.allows(self._outage(asked.target, group), now)
             for group in self._groups(asked.target) or {""}
         )
 
@@ -63,7 +63,7 @@
         return [
             item
             for item in candidates
-            if outage.lets_through(self._outage(asked.target, item.group), now)
+            if outage.allows(self._outage(asked.target, item.group), now)
         ]
 
     def note_chosen(self, asked: call.Call, upstream: str) -> None:
@@ -73,7 +73,7 @@
         group = self._group_of(upstream)
         found = self._outage(asked.target, group)
         if found.out:
-            tried = found._replace(tried_at=self._clock.monotonic())
+            tried = found._replace(probed_at=self._clock.monotonic())
             self._outage_by_group[asked.target, group] = tried
 
     def out(self, asked: call.Call) -> bool:
@@ -87,7 +87,7 @@
         """Note that an upstream refused a request without running it."""
         group = self._group_of(upstream)
         old = self._outage(asked.target, group)
-        new = outage.refused(old, upstream, self._clock.monotonic())
+        new = outage.record_refusal(old, upstream, self._clock.monotonic())
         self._outage_by_group[asked.target, group] = new
         if asked.is_model and new.out and not old.out:
             LOG.warning(
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/rate_limits.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/rate_limits.py
@@ -53,7 +53,7 @@
         self._entries = entries
         self._on_news = on_news
         self._on_free = on_free
-        self._told_by_hash: dict[int, rate_limit.Told] = {}
+        self._told_by_hash: dict[int, rate_limit.LimitReport] = {}
         self._buckets: dict[int, rate_limit.Bucket] = {}
         self._shares: dict[int, tuple[Any, float, float]] = {}
         self._wakeup = wakeup.Wakeup(
@@ -106,17 +106,19 @@
         per_s = self._share_per_s(start, number)
         if per_s is not None:
             bucket = self._fill(number, per_s)
-            self._buckets[number] = rate_limit.taken(bucket)
+            self._buckets[number] = rate_limit.debited(bucket)
 
     def add_to(self, message: ttypes.Usage, part: float) -> None:
         """Add a part of the limits that are known to a datagram."""
         now = self._clock.monotonic()
-        rows = sorted(self._told_by_hash.items(), key=lambda row: -row[1].at)
+        rows = sorted(
+            self._told_by_hash.items(), key=lambda row: -row[1].received_at
+        )
         message.limits = [
             ttypes.RateLimit(
                 start=number,
                 per_s=told.per_s,
-                age_ms=min(OLDEST_MS, int((now - told.at) * 1000)),
+                age_ms=min(OLDEST_MS, int((now - told.received_at) * 1000)),
             )
             for number, told in rows[: int(MOST_TOLD * part)]
         ]
@@ -125,13 +127,13 @@
         """Take what another entry tells."""
         now = self._clock.monotonic()
         for row in filter(_sound, message.limits or ()):
-            told = rate_limit.Told(row.per_s, now - row.age_ms / 1000)
+            told = rate_limit.LimitReport(row.per_s, now - row.age_ms / 1000)
             self._keep(row.start, told)
 
     def _hear(self, start: str, per_s: float | None) -> None:
         number = short_hash.of(start)
         old = self._told_by_hash.get(number)
-        told = rate_limit.Told(per_s, self._clock.monotonic())
+        told = rate_limit.LimitReport(per_s, self._clock.monotonic())
         self._keep(number, told)
         if old is None or old.per_s != per_s:
             LOG.info(
@@ -143,7 +145,7 @@
             )
             self._on_news()
 
-    def _keep(self, number: int, told: rate_limit.Told) -> None:
+    def _keep(self, number: int, told: rate_limit.LimitReport) -> None:
         """Keep the newest of a start, and the newest of all."""
         old = self._told_by_hash.pop(number, None)
         kept = rate_limit.newest(old, told)
@@ -175,7 +177,7 @@
         return share
 
     def _fill(self, number: int, per_s: float) -> rate_limit.Bucket:
-        bucket = rate_limit.filled(
+        bucket = rate_limit.refilled(
             self._buckets.get(number), per_s, self._clock.monotonic()
         )
         self._buckets[number] = bucket
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/streams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/streams.py
@@ -118,7 +118,7 @@
         self._buffer_bytes = buffer_bytes
         self._incarnation = incarnation
 
-    def judge(self, request: ttypes.Submit) -> gate.Answer:
+    def judge(self, request: ttypes.Submit) -> gate.Decision:
         """Ask the gate about an attempt."""
         now = self._clock.monotonic()
         return self.gate.submit(request.attempt, request.entry, now)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
@@ -35,7 +35,7 @@
 MOST_TOLD = 12
 # Starts that a told record may name; conviction comes long before.
 MOST_STARTS = 8
-OLDEST_MS = int(suspicion.KEPT_S * 1000)
+OLDEST_MS = int(suspicion.RETENTION_S * 1000)
 VERDICTS = frozenset(suspicion.Verdict)
 
 
@@ -91,10 +91,10 @@
         found = self.record(asked)
         if found is None or found.verdict is not suspicion.Verdict.CONVICTED:
             return 0.0
-        age_s = self._clock.monotonic() - found.at
-        return max(0.0, suspicion.KEPT_S - age_s)
+        age_s = self._clock.monotonic() - found.updated_at
+        return max(0.0, suspicion.RETENTION_S - age_s)
 
-    def apart(
+    def isolate(
         self, asked: call.Call, candidates: list[routing.Candidate]
     ) -> list[routing.Candidate]:
         """Keep a suspect away from upstreams where another one is.
@@ -111,7 +111,7 @@
             for item in candidates
             if self._suspects_at(short_hash.of(item.start)) - {own}
         }
-        if found.apart:
+        if found.isolated:
             return [item for item in candidates if item.name not in taken]
         return [
             item._replace(refused=True) if item.name in taken else item
@@ -143,7 +143,7 @@
         if not self._found.by_digest:
             return
         now = self._clock.monotonic()
-        if self._found.ended_well(digest_of(asked), now):
+        if self._found.clear(digest_of(asked), now):
             LOG.info("A suspected request has ended well.", request=asked.id)
             self._on_news()
 
@@ -184,10 +184,10 @@
         crash = suspicion.Crash(
             start=number,
             digests=frozenset(by_digest),
-            others=elsewhere,
-            alone=len(by_digest) == 1 and losses[0].running <= 1,
+            other_suspects=elsewhere,
+            sole_request=len(by_digest) == 1 and losses[0].running <= 1,
         )
-        convicted = self._found.crashed(crash, self._clock.monotonic())
+        convicted = self._found.record_crash(crash, self._clock.monotonic())
         LOG.warning(
             "An upstream has crashed; what ran there is suspected.",
             upstream=start.key,
@@ -196,14 +196,14 @@
                 len(self._found.by_digest[item].crashed) for item in by_digest
             ),
             suspects_of_others=len(elsewhere),
-            alone=crash.alone,
+            alone=crash.sole_request,
         )
         for item in convicted:
             LOG.warning(
                 "A request crashes upstreams; it is sent to none.",
                 request=by_digest[item].asked.id,
                 crashed=len(self._found.by_digest[item].crashed),
-                kept_s=suspicion.KEPT_S,
+                kept_s=suspicion.RETENTION_S,
             )
         self._on_news()
 
@@ -219,7 +219,7 @@
     def add_to(self, message: ttypes.Usage, part: float) -> None:
         """Add a part of what is known to a datagram."""
         now = self._clock.monotonic()
-        self._found.lapse(now)
+        self._found.expire(now)
         rows = list(self._found.by_digest.items())[::-1]
         running = self._running_by_digest()
         # Those that run now matter most to who chooses an upstream.
@@ -228,9 +228,9 @@
             ttypes.Suspect(
                 digest=item,
                 crashed=sorted(record.crashed)[:MOST_STARTS],
-                alone=record.alone,
+                alone=record.sole_request_crashes,
                 verdict=int(record.verdict),
-                age_ms=min(OLDEST_MS, int((now - record.at) * 1000)),
+                age_ms=min(OLDEST_MS, int((now - record.updated_at) * 1000)),
                 running=running.get(item, [])[:MOST_STARTS],
             )
             for item, record in rows[: int(MOST_TOLD * part)]
@@ -254,9 +254,9 @@
         for row in rows:
             record = suspicion.Record(
                 crashed=frozenset(row.crashed),
-                alone=row.alone,
+                sole_request_crashes=row.alone,
                 verdict=suspicion.Verdict(row.verdict),
-                at=now - row.age_ms / 1000,
+                updated_at=now - row.age_ms / 1000,
             )
             self._learn(row.digest, record, message.name)
             for number in row.running:
@@ -267,7 +267,7 @@
 
     def _learn(self, item: int, record: suspicion.Record, teller: str) -> None:
         old = self._found.by_digest.get(item)
-        self._found.learn(item, record)
+        self._found.merge(item, record)
         new = self._found.by_digest[item]
         if old is None or old[:3] != new[:3]:
             LOG.info(
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
@@ -58,15 +58,15 @@
         self._pace_by_group[target, group] = pace.observed(
             self._pace(target, group),
             pause_s,
-            longest_s=longest_s,
+            max_pause_s=longest_s,
             now=self._clock.monotonic(),
             used=used,
             fixed_s=self._fixed_s.get(target, 0.0),
         )
 
-    def room(self, target: str, slots: int) -> int:
+    def queue_capacity(self, target: str, slots: int) -> int:
         """Return how many requests may wait at an upstream with some slots."""
-        return waiting.room(
+        return waiting.queue_capacity(
             slots,
             goal_s=self._goal_s.get(target, 0.0),
             takes_s=self._takes_s.get(target),
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
@@ -136,7 +136,9 @@
         return view.candidate(
             now,
             remote_in_flight=self._usage.others(start.key),
-            waiting=self._targets.room(upstream.target, upstream.slots),
+            waiting=self._targets.queue_capacity(
+                upstream.target, upstream.slots
+            ),
             avoided=limited or self.backoffs.blocks(start),
             group=self.groups.of(start.key),
         )
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
@@ -120,7 +120,7 @@
         detail="more is asked than can be served in time",
         retry_after_s=refusal.retry_after_s,
     )
-    request = refusal.waiting.item
+    request = refusal.request.item
     if request is newcomer:
         raise problem
     if request.dispatched is not None and not request.dispatched.called:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
@@ -272,7 +272,7 @@
         if chunks:
             contexts.record_first_byte(request, context)
             out.write(chunks)
-        if assembly.whole:
+        if assembly.complete:
             context.record_success(name)
             out.finish()
             return
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/call.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/call.py
@@ -71,7 +71,7 @@
     key: str = ""
     resume_after: int | None = None
     route: routes.Route | None = None
-    max_attempts: int = retry.MOST_ATTEMPTS
+    max_attempts: int = retry.MAX_ATTEMPTS
     workspace: model.Workspace | None = None
     target: str = ""
     is_model: bool = False
@@ -87,7 +87,7 @@
     requirements: routing.Requirements | None = None
     choice: routing.Choice | None = None
     view: Any = None
-    waiting: admission.Waiting | None = None
+    waiting: admission.QueuedRequest | None = None
     dispatched: defer.Deferred | None = None
     disconnected: bool = False
     on_disconnect: Callable[[], Any] | None = None
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/context.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/context.py
@@ -236,7 +236,7 @@
         candidates = self.membership.candidates(request.target)
         candidates = self.outages.open(request, candidates)
         if self.suspects is not None:
-            candidates = self.suspects.apart(request, candidates)
+            candidates = self.suspects.isolate(request, candidates)
         now = self.clock.monotonic()
         return routing.choose(candidates, request.requirements, now)
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
@@ -210,7 +210,7 @@
 async def _relay_events(active: ActiveAttempt, head: base.AnswerHead) -> None:
     """Relay a stream event by event, from the last that the caller has."""
     out = active.out
-    cutter = events.Cutter()
+    cutter = events.EventParser()
     last_at: float | None = None
     while (piece := await active.conn.chunk()) is not None:
         await out.drained()
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/relay.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/relay.py
@@ -99,12 +99,12 @@
     convicted = context.suspects and context.suspects.convicted_s(request)
     if convicted or context.outages.out(request):
         raise _failure(request, context, out, lost, ran)
-    worth = retry.worth(
+    worth = retry.may_retry(
         attempts=tries,
         not_run=lost.not_run,
-        repeatable=request.idempotent,
-        left_s=remaining_s if not out.begun else retry.LEAST_LEFT_S,
-        most=request.max_attempts,
+        idempotent=request.idempotent,
+        remaining_s=remaining_s if not out.begun else retry.MIN_REMAINING_S,
+        max_attempts=request.max_attempts,
     )
     # A stream that goes on elsewhere brings only the load that its lost
     # upstream has shed, and sessions must not be dropped: it is no retry,
--- a/packages/reelscale-daemon/src/reelscale_daemon/rank_wire.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/rank_wire.py
@@ -36,7 +36,7 @@
     """
 
     rank: rank.Rank
-    counted: demand.Counted | None = None
+    counted: demand.Counters | None = None
     experts: tuple[tuple[int, ...], ...] | None = None
 
 
@@ -76,7 +76,7 @@
     counted = None
     if message.counts is not None:
         counts = packed.read_counts(message.counts)
-        counted = demand.Counted(state.epoch, counts, state.born_ms)
+        counted = demand.Counters(state.epoch, counts, state.born_ms)
     experts = None
     if message.experts is not None:
         experts = tuple(tuple(row) for row in message.experts)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -184,7 +184,7 @@
         step = self.rank.step + 1
         if any(done < step - 1 for done in self.done_by_name.values()):
             return
-        version = lockstep.begins(self.rank, step)
+        version = lockstep.layout_at(self.rank, step)
         if version == 0:
             reactor.callLater(HOLD_S, self.try_step)
             return
@@ -323,7 +323,7 @@
         order = getattr(lockstep, kind.capitalize())(**data)
         if not self.checks_fence:
             order = order._replace(fence=max(order.fence, self.rank.fence))
-        self.rank, accepted = lockstep.obey(self.rank, order)
+        self.rank, accepted = lockstep.apply_order(self.rank, order)
         if accepted and layout is not None:
             self.layouts[order.version] = model.layout(layout)
         if accepted and kind == "adopt" and not self.busy:
