--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/__init__.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/__init__.py
@@ -1,4 +1,4 @@
-"""The chain of filters that every request passes at an entry."""
+"""Filter chain that an entry runs for every request."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
@@ -1,4 +1,4 @@
-"""Fourth filter: a request waits for a slot, or is refused at once."""
+"""Filter that admits a request: it gets a slot, waits or is refused."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -12,26 +12,26 @@
 from . import context as contexts
 
 STATUS_BY_CODE = {"displaced": 429, "queue-full": 429, "deadline": 503}
-BACKOFF_DETAIL = "its upstreams want no requests for a while"
-LIMIT_DETAIL = "its upstreams take fewer requests than are asked"
+BACKOFF_DETAIL = "all upstreams of this target have asked for a back-off"
+LIMIT_DETAIL = "the rate limits of this target's upstreams are exhausted"
 
 
 async def admit(request: call.Call, context: contexts.Context) -> None:
-    """Give a request a slot of an upstream, in its fair turn.
+    """Take a slot of an upstream for a request, queueing it if necessary.
 
-    Requests with a key go to the home of the key and take no slot here;
-    that upstream's gate decides.
+    Requests with an idempotency key are sent to the owner of the key and
+    take no slot here; the admission control of that upstream decides.
 
     Raises:
       CodedError: "queue-full", "displaced", "deadline" or "no-upstream".
-      CallerLeftError: The caller went while it waited.
+      CallerDisconnectedError: The caller disconnected while it waited.
     """
     context.membership.use(request.target)
     if not context.reachable(request.target):
-        # Grants of a target that was idle have lapsed: ask for new ones.
+        # Grants of an idle target expire; request new ones.
         await context.membership.wake(request.target)
     if request.disconnected:
-        # Nobody ends a wait that has not begun: it would take a slot.
+        # Without this check the request of a caller that is gone takes a slot.
         raise writer.CallerDisconnectedError
     if request.idempotency_key:
         return
@@ -87,11 +87,11 @@
 def _check_dispatch_wait(
     request: call.Call, context: contexts.Context, queue: admission.Queue
 ) -> None:
-    """Refuse at once what upstreams themselves leave no turn in time.
+    """Refuse a request that limits or back-offs would hold past its deadline.
 
     Raises:
-      CodedError: "upstream-limit" or "upstream-backoff", with when there is
-        likely to be one.
+      CodedError: "upstream-limit" or "upstream-backoff", with the expected
+        wait as Retry-After.
     """
     turn_s = context.membership.turn_s(request.target, ahead=len(queue))
     if context.clock.monotonic() + turn_s <= request.deadline:
@@ -112,12 +112,12 @@
 
 
 def _refuse(refusal: admission.Refusal, newcomer: call.Call) -> None:
-    """Give a refused request its answer now."""
+    """Fail the request that the queue refused or displaced."""
     problem = error.CodedError(
         refusal.code,
         step="admit",
         status=STATUS_BY_CODE[refusal.code],
-        detail="more is asked than can be served in time",
+        detail="this target is overloaded",
         retry_after_s=refusal.retry_after_s,
     )
     request = refusal.request.item
@@ -128,7 +128,7 @@
 
 
 def _expire(request: call.Call, queue: admission.Queue) -> None:
-    """End the wait of a request whose time is up."""
+    """Fail a queued request whose deadline has passed."""
     if request.dispatched is None or request.dispatched.called:
         return
     name = request.workspace.name
@@ -138,7 +138,7 @@
             "deadline",
             step="admit",
             status=503,
-            detail="no slot came free in time",
+            detail="no slot became free before the deadline",
             retry_after_s=after,
         )
     )
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: sends a request to one upstream and relays its answer."""
+"""One attempt by way of an agent: submits a request and pulls its answer."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -20,21 +20,21 @@
 SUBMIT_TIMEOUT_S = 5.0
 CANCEL_TIMEOUT_S = 1.0
 PULL_TIMEOUT_S = 15.0
-# For this long a broken connection to an agent is tried again.
+# Pulls are retried for this long after the connection to an agent broke.
 RECONNECT_TIMEOUT_S = 2.0
 RECONNECT_INTERVAL_S = 0.1
 PULL_BYTES = 65536
 KINDS = ttypes.VerdictKind
-# The code with which an agent refuses new work before it ends.
+# Code with which a stopping agent refuses new requests.
 LEAVING = "leaving"
 
 
 class BufferedAnswer(NamedTuple):
-    """A whole answer that has not gone to the caller yet.
+    """A complete answer that has not been sent to the caller.
 
     Attributes:
       status: HTTP status.
-      headers: Headers that go on.
+      headers: Headers to forward.
       body: The body.
     """
 
@@ -44,15 +44,16 @@
 
 
 class AttemptLostError(Exception):
-    """An attempt came to nothing, or broke midway.
+    """An attempt failed without an answer or during one.
 
     Attributes:
-      code: Why.
-      peer: The upstream.
-      not_run: Whether it is proved that the upstream did not run it.
-      unsent: Whether nothing was sent, for a reason that lies with the
-        choice; it then counts as no attempt, and another is free.
-      answer: The upstream's own failure, for the caller if no other
+      code: Error code.
+      peer: Name of the upstream.
+      not_run: Whether the upstream provably did not run the request.
+      unsent: Whether nothing was sent because the chosen upstream no longer
+        accepts requests; this neither counts as an attempt nor uses the
+        retry budget.
+      answer: Error answer of the upstream, sent to the caller if no other
         upstream is tried.
     """
 
@@ -76,7 +77,7 @@
 async def run(
     request: call.Call, context: contexts.Context, out: writer.Writer
 ) -> None:
-    """Send one attempt and relay what it gives."""
+    """Send one attempt and relay its answer."""
     name, reason, address = _destination(request, context)
     attempt = context.next_id()
     request.attempts.append(f"{name} ({reason})")
@@ -114,7 +115,7 @@
 
 
 def _scoped_key(request: call.Call) -> str:
-    """Return a key as agents know it, apart for each workspace."""
+    """Return the idempotency key, prefixed with the workspace."""
     return f"{request.workspace.name}/{request.idempotency_key}"
 
 
@@ -126,10 +127,10 @@
     name: str,
     to: link.Link,
 ) -> None:
-    """Get an attempt admitted.
+    """Submit an attempt to an agent.
 
     Raises:
-      AttemptLostError: It was not, or that cannot be told.
+      AttemptLostError: The agent refused it, or its admission is unknown.
     """
     message = _message(request, context, out, attempt)
     view = context.membership.views_by_name.get(name)
@@ -147,7 +148,7 @@
     if verdict.kind == KINDS.ADMITTED:
         return
     if verdict.code == LEAVING:
-        # Others are asked for grants then, where this was the only one.
+        # Requests grants from other agents if this was the only upstream.
         context.membership.note_leaving(name)
     raise AttemptLostError(
         verdict.code,
@@ -159,7 +160,7 @@
 def _record_lost(
     context: contexts.Context, name: str, lost: link.LinkError
 ) -> None:
-    """Count a failure of an upstream whose agent did not answer."""
+    """Record the failure of an upstream whose agent did not answer."""
     context.record_failure(name)
     _record_unreachable(context, name, lost)
 
@@ -169,8 +170,8 @@
 ) -> None:
     """Stop sending to an upstream to which no connection could be opened.
 
-    Else the next attempt could choose it again, when no other has a slot
-    free, and fail at once instead of waiting for a slot.
+    Otherwise the next attempt could choose it again and fail immediately
+    instead of waiting for a slot of another upstream.
     """
     if not lost.written:
         context.membership.note_unreachable(name)
@@ -183,10 +184,10 @@
     name: str,
     known: str,
 ) -> None:
-    """Find out what became of an attempt whose answer was lost.
+    """Cancel an attempt whose submission got no answer; raise its outcome.
 
-    Only the same incarnation of the agent can prove that it did not run:
-    a new one has forgotten what its forerunner ran.
+    Only the same incarnation of the agent can prove that the attempt did not
+    run; a restarted agent has lost the record of earlier attempts.
     """
     try:
         verdict = await _cancel(to, attempt)
@@ -209,11 +210,11 @@
 
 
 async def _stop(to: link.Link, attempt: str) -> None:
-    """Cancel an attempt for which nobody waits, if its agent can be told."""
+    """Cancel an attempt that nobody waits for, on a best-effort basis."""
     try:
         await _cancel(to, attempt)
     except link.LinkError as lost:
-        # The agent ends it by itself once nobody has pulled for a while.
+        # The agent ends an attempt that has not been pulled for a while.
         LOG.info("A cancel got no answer.", attempt=attempt, reason=lost)
 
 
@@ -251,7 +252,7 @@
     name: str,
     to: link.Link,
 ) -> None:
-    """Pull an attempt's chunks until its end, as fast as the caller reads."""
+    """Pull the chunks of an attempt at the rate at which the caller reads."""
     assembly = answer.Assembly(attempt=attempt)
     while True:
         await out.drained()
@@ -288,7 +289,7 @@
 async def _pull(
     context: contexts.Context, attempt: str, name: str, to: link.Link, seq: int
 ) -> Any:
-    """Pull once; over a broken connection again, from where it stood."""
+    """Pull once; after a broken connection, retry from the same sequence."""
     message = ttypes.Pull(attempt=attempt, from_seq=seq, max_bytes=PULL_BYTES)
     started = context.clock.monotonic()
     while True:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/chain.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/chain.py
@@ -1,4 +1,4 @@
-"""Passes every request of a caller through a fixed chain of filters."""
+"""Runs the filter chain for each request."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,12 +10,12 @@
 
 
 async def run(request: call.Call, context: contexts.Context) -> None:
-    """Pass a request through the chain of this entry.
+    """Run the filter chain of this entry for a request.
 
     Raises:
-      CodedError: A filter refused it, or it failed before its answer.
-      writer.BrokenError: Its answer broke off.
-      writer.CallerLeftError: Its caller has gone.
+      CodedError: A filter refused it, or it failed before an answer began.
+      writer.AnswerBrokenError: Its answer was interrupted.
+      writer.CallerDisconnectedError: Its caller disconnected.
     """
     counted = False
     try:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/classify.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/classify.py
@@ -1,4 +1,4 @@
-"""Second filter: what is asked, of whom, and how it may be treated."""
+"""Filter that determines the target of a request and how to handle it."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -15,15 +15,15 @@
 
 MODEL_PATHS = (b"/v1/chat/completions", b"/v1/completions")
 SERVICES = b"/services/"
-# Methods that may run twice (RFC 9110, 9.2.2).
+# Idempotent methods (RFC 9110, 9.2.2).
 IDEMPOTENT_METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE")
 MAX_KEY_CHARS = 200
-# Leading characters of a prompt that make up its prefix key.
+# Leading characters of a prompt that form its prefix key.
 PREFIX_CHARS = 512
 
 
 async def classify(request: call.Call, context: contexts.Context) -> None:
-    """Tell the target and the treatment of a request.
+    """Set the target of a request and how it is handled.
 
     Raises:
       CodedError: "no-such-path" or "no-such-target", status 404; a bad
@@ -41,7 +41,7 @@
             "no-such-path",
             step="classify",
             status=404,
-            detail="see the documentation for the paths served",
+            detail="no such API path; see the documentation",
         )
     if request.target not in request.workspace.targets:
         raise error.CodedError(
@@ -102,7 +102,7 @@
 
 
 def _prefix(request: call.Call, data: dict[str, Any]) -> str:
-    """Return a key for the leading part of the prompt."""
+    """Return a hash of the start of the prompt, for prefix affinity."""
     text = data.get("prompt")
     if not isinstance(text, str):
         text = orjson.dumps(data.get("messages", [])).decode()
@@ -111,7 +111,7 @@
 
 
 def _idempotency_key(request: call.Call) -> str:
-    """Return the Idempotency-Key, scoped to the workspace."""
+    """Return the value of the Idempotency-Key header."""
     key = (request.http.getHeader("idempotency-key") or "").strip('"')
     if len(key) > MAX_KEY_CHARS:
         raise _bad_request("bad-key", "the Idempotency-Key is too long")
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/context.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/context.py
@@ -1,4 +1,4 @@
-"""What the filters share: limits, queues, routing and recent decisions."""
+"""State shared by the filters: limits, queues, routing, recent decisions."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -29,24 +29,23 @@
 from ..exchange import pool
 from . import call
 
-# Decisions on so many requests, the newest, are kept for operators, who ask
-# soon after a request; the number bounds what they take.
+# Number of decisions kept for "reelscale explain"; bounds their memory.
 MAX_DECISIONS = 2000
-# Where no queue tells when to come back, callers come back after this long,
-# in seconds: no target was found, and that changes with a configuration.
+# Retry-After, in seconds, for requests without a target; only a change of the
+# configuration can add one.
 DEFAULT_RETRY_S = 1.0
 
-# A filter of the chain that a request passes.
+# One filter of the chain.
 Filter = Callable[[call.Call, "Context"], Awaitable[None]]
-# Sends one attempt and relays what it gives; the last one is a Writer.
+# Sends one attempt and relays its answer to a Writer, the last argument.
 Send = Callable[[call.Call, "Context", Any], Awaitable[None]]
 
 
 class View(Protocol):
-    """An upstream as this entry sees it.
+    """State of an upstream at this entry.
 
     Attributes:
-      local_in_flight: Requests of this entry in progress there.
+      local_in_flight: Requests of this entry in progress at the upstream.
       breaker: Its circuit breaker.
     """
 
@@ -55,11 +54,11 @@
 
 
 class Upstreams(Protocol):
-    """What the filters ask of the controller that knows the upstreams.
+    """Interface of the controller that tracks the upstreams.
 
     Attributes:
-      views_by_name: The views of all that are known.
-      waiting_by_target: Requests that wait here, by target.
+      views_by_name: Views of all known upstreams.
+      waiting_by_target: Number of requests queued at this entry, by target.
       on_change: Called after a change of the views.
     """
 
@@ -72,11 +71,11 @@
         ...
 
     def reachable(self, target: str) -> bool:
-        """Tell whether any upstream of a target may get work at all."""
+        """Return whether any upstream of a target accepts requests."""
         ...
 
     def use(self, target: str) -> None:
-        """Note that a request wants a target."""
+        """Record that a request needs a target."""
         ...
 
     def group_of(self, name: str) -> str:
@@ -88,24 +87,24 @@
         ...
 
     def turn_s(self, target: str, *, ahead: int) -> float:
-        """Return when upstreams themselves let the next request go."""
+        """Return the wait, in seconds, that upstreams' limits impose."""
         ...
 
     def limits_per_s(self, target: str) -> list[float]:
-        """Return the limits that upstreams of a target have named."""
+        """Return the rate limits that upstreams of a target stated."""
         ...
 
     def note_sent(self, view: Any) -> None:
-        """Note that a request goes to an upstream."""
+        """Record that a request is sent to an upstream."""
         ...
 
     async def wake(self, target: str) -> None:
-        """Find out afresh which upstreams may serve a target."""
+        """Request new grants from the upstreams of a target."""
         ...
 
 
 class Decision(NamedTuple):
-    """Why a request went where it went, for "reelscale explain".
+    """Routing decision on a request, for "reelscale explain".
 
     Attributes:
       request: Id of the request.
@@ -113,8 +112,8 @@
       target: Its target.
       attempts: Upstreams tried, each with the reason it was chosen.
       outcome: "ran", "not-run" or "unknown".
-      code: Error code, empty when all went well.
-      seconds: From arrival to the end.
+      code: Error code, empty for success.
+      seconds: Duration from arrival to the end.
     """
 
     request: str
@@ -127,7 +126,7 @@
 
 
 class Context:
-    """The state of one entry that the filters work on."""
+    """State of one entry that the filters read and update."""
 
     def __init__(
         self,
@@ -179,7 +178,7 @@
         membership.on_change.append(self.pump)
 
     def next_id(self) -> str:
-        """Return an id that no other request or attempt ever has."""
+        """Return an id that is unique among all requests and attempts."""
         return f"{self.settings.name}-{self.incarnation}-{next(self._numbers)}"
 
     def workspace_by_digest(self, digest: str) -> str | None:
@@ -195,7 +194,7 @@
         return queue
 
     def retry_after_s(self, request: call.Call) -> float:
-        """Return when a refused caller should come back."""
+        """Return the Retry-After of a refused request, in seconds."""
         if not request.target:
             return DEFAULT_RETRY_S
         if self.outages.out(request):
@@ -207,7 +206,7 @@
         return max(after_s, turn_s) if turn_s < math.inf else after_s
 
     def remaining_s(self, request: call.Call) -> float:
-        """Return how long a request's answer may still take."""
+        """Return the seconds until a request's answer deadline."""
         return request.answer_deadline - self.clock.monotonic()
 
     @property
@@ -216,7 +215,7 @@
         return len(self.calls)
 
     def enter(self, request: call.Call) -> None:
-        """Count a request in."""
+        """Count a request as in progress."""
         name = request.workspace.name
         self.running_by_workspace[name] = (
             self.running_by_workspace.get(name, 0) + 1
@@ -224,7 +223,7 @@
         self.calls.add(request)
 
     def leave(self, request: call.Call) -> None:
-        """Count a request out."""
+        """Stop counting a request as in progress."""
         name = request.workspace.name
         self.running_by_workspace[name] -= 1
         if not self.running_by_workspace[name]:
@@ -241,11 +240,11 @@
         return routing.choose(candidates, request.requirements, now)
 
     def reachable(self, target: str) -> bool:
-        """Tell whether any upstream of a target may get work at all."""
+        """Return whether any upstream of a target accepts requests."""
         return self.membership.reachable(target)
 
     def reserve(self, request: call.Call) -> None:
-        """Take the slot that a request was given."""
+        """Take a slot of the upstream that was chosen for a request."""
         view = self.membership.views_by_name[request.choice.name]
         request.view = view
         view.local_in_flight += 1
@@ -255,7 +254,7 @@
         self.on_local_change()
 
     def release(self, request: call.Call) -> None:
-        """Give the slot of a request back and let the next one go."""
+        """Release the slot of a request and dispatch waiting requests."""
         if request.choice is None:
             return
         view, request.view = request.view, None
@@ -266,9 +265,9 @@
         self.pump()
 
     def current_view(self, request: call.Call) -> View:
-        """Return how the chosen upstream is seen now.
+        """Return the current view of the chosen upstream.
 
-        It may have started again since; the slot is then one of that start.
+        If the upstream has restarted, the slot moves to the new view.
         """
         view = self.membership.views_by_name.get(request.choice.name)
         if view is None:
@@ -280,16 +279,16 @@
         return view
 
     def pump(self) -> None:
-        """Let waiting requests go as far as slots allow."""
+        """Dispatch waiting requests while slots are free."""
         for queue in self._queues.values():
             self._pump(queue)
 
     def report_queue_length(self, target: str) -> None:
-        """Tell membership how much waits, for the next grant."""
+        """Report the queue length to membership, for the next grant."""
         self.membership.waiting_by_target[target] = len(self.queue(target))
 
     def set_gauges(self) -> None:
-        """Set the gauges of requests before a scrape."""
+        """Update the request gauges before a scrape."""
         self.metrics.running.set({}, self.running)
         for target, count in self.membership.waiting_by_target.items():
             self.metrics.queued.set({"target": target}, count)
@@ -299,22 +298,21 @@
 
         Args:
           name: The upstream.
-          view: How that start of it was seen which answered, if starts are
-            told apart; by default the one that is seen now.
+          view: View of the start that answered; by default the current one.
         """
         view = view or self.membership.views_by_name.get(name)
         if view is not None:
             view.breaker = circuit.succeeded(view.breaker)
 
     def record_failure(self, name: str, *, view: View | None = None) -> None:
-        """Count a failure against an upstream's circuit; see note_success."""
+        """Count a failure against an upstream's circuit."""
         view = view or self.membership.views_by_name.get(name)
         if view is not None:
             now = self.clock.monotonic()
             view.breaker = circuit.failed(view.breaker, now)
 
     def record_decision(self, request: call.Call) -> None:
-        """Remember for a while what was decided on a request."""
+        """Store the decision on a request, evicting the oldest."""
         self.decisions[request.id] = Decision(
             request=request.id,
             workspace=request.workspace.name if request.workspace else "",
@@ -354,6 +352,6 @@
 
 
 def record_first_byte(request: call.Call, context: Context) -> None:
-    """Note when the first piece of an answer was there."""
+    """Record the time of an answer's first byte."""
     if request.first_byte_at is None:
         request.first_byte_at = context.clock.monotonic()
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
@@ -1,4 +1,4 @@
-"""One attempt where an entry meets the upstream itself, over HTTP."""
+"""One attempt sent by the entry directly to an upstream over HTTP."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -14,25 +14,24 @@
 from . import context as contexts
 
 LOG = logs.Logger("attempt")
-# A request that must not run twice is not sent on a connection that was
-# idle for longer, in seconds: an upstream may be closing it just now.
+# A request that is not idempotent is not sent on a connection that was idle
+# for longer, in seconds, as the upstream may be closing it.
 MAX_IDLE_AT_MOST_ONCE_S = 1.0
-# Opening a connection may take this long, in seconds; a lost opening packet
-# is sent again after one second.
+# Exceeds the 1 s after which TCP retransmits a lost SYN.
 CONNECT_TIMEOUT_S = 1.2
-# The code of a request whose own time is up.
+# Error code of a request whose answer deadline has passed.
 TIMEOUT = "timeout"
 
 
 async def run(
     request: call.Call, context: contexts.Context, out: writer.Writer
 ) -> None:
-    """Send one attempt and relay what it gives.
+    """Send one attempt and relay its answer.
 
     Raises:
-      AttemptLostError: It came to nothing, or broke midway.
-      CodedError: "timeout": the time of the request is up.
-      CallerLeftError: The caller has gone.
+      AttemptLostError: The attempt failed.
+      CodedError: "timeout": the answer deadline has passed.
+      CallerDisconnectedError: The caller disconnected.
     """
     upstream = context.current_view(request).upstream
     if context.suspects.convicted_s(request):
@@ -71,10 +70,10 @@
     context: contexts.Context,
     upstream: announcement.Announcement,
 ) -> None:
-    """See that there is time left to send a request.
+    """Check that the answer deadline has not passed.
 
     Raises:
-      AttemptLostError: The process stood still, or the machine was suspended.
+      AttemptLostError: It has, as after a stall or a suspension of the box.
     """
     if context.remaining_s(request) <= 0:
         raise attempt.AttemptLostError(
@@ -87,19 +86,19 @@
     context: contexts.Context,
     upstream: announcement.Announcement,
 ) -> None:
-    """See that the upstream still wants a request, now that one can be sent.
+    """Check that the upstream still accepts requests.
 
-    Opening a connection takes up to a second, in which answers to others may
-    have told that it wants none.
+    While the connection was opened, answers to other requests may have
+    stated a back-off or that the upstream is leaving.
 
     Raises:
-      AttemptLostError: "backoff" or "leaving"; it got nothing.
+      AttemptLostError: "backoff" or "leaving"; nothing was sent.
     """
     code = context.membership.unwanted(upstream.start)
     if not code:
         return
     LOG.info(
-        "An upstream no longer wants a request that was chosen for it.",
+        "An upstream stopped accepting requests before one was sent.",
         request=request.id,
         upstream=upstream.start.key,
         code=code,
@@ -115,11 +114,11 @@
     context: contexts.Context,
     upstream: announcement.Announcement,
 ) -> connection.Connection:
-    """Return a connection to an upstream, an idle one if that will do.
+    """Return an idle or a new connection to an upstream.
 
     Raises:
-      AttemptLostError: None could be opened, or a stop ended the opening.
-      CallerLeftError: The caller has gone; its opening is given up at once.
+      AttemptLostError: None could be opened, or a stop cancelled it.
+      CallerDisconnectedError: The caller disconnected, which cancels it.
     """
     opening = defer.ensureDeferred(_acquire(request, context, upstream))
     request.on_disconnect = opening.cancel
@@ -129,7 +128,7 @@
     except connection.ExchangeError as lost:
         if request.disconnected:
             raise writer.CallerDisconnectedError from lost
-        # That an opening was given up says nothing of the upstream.
+        # A connect cancelled by the deadline is no failure of the upstream.
         if context.remaining_s(request) > 0:
             context.record_failure(upstream.name, view=request.view)
         raise attempt.AttemptLostError(
@@ -148,7 +147,7 @@
     context: contexts.Context,
     upstream: announcement.Announcement,
 ) -> connection.Connection:
-    """Take a connection from the pool, in the time that there is."""
+    """Acquire a connection from the pool within the answer deadline."""
     remaining_s = max(0.0, context.remaining_s(request))
     return await context.connections.acquire(
         upstream.address,
@@ -158,7 +157,7 @@
 
 
 def _request(active: direct_answer.ActiveAttempt) -> connection.Request:
-    """Return the request as the platform's upstreams read it."""
+    """Return the request in the dialect of the platform's upstreams."""
     return active.context.dialect.request(
         active.request,
         active.upstream,
@@ -170,7 +169,7 @@
 def _lost(
     active: direct_answer.ActiveAttempt, lost: connection.ExchangeError
 ) -> Exception:
-    """Return the error that a broken exchange comes to."""
+    """Return the error for a failed exchange."""
     if active.request.disconnected:
         return writer.CallerDisconnectedError()
     if active.abort_code:
@@ -184,7 +183,7 @@
 
 
 def _record_lost(active: direct_answer.ActiveAttempt) -> None:
-    """Have it looked up whether the upstream has crashed."""
+    """Report the loss, so that a crash of the upstream can be detected."""
     candidates = active.context.membership.candidates(active.request.target)
     running = sum(
         item.running + item.queued
@@ -197,7 +196,7 @@
 
 
 def _expired(active: direct_answer.ActiveAttempt) -> Exception:
-    """Return the error that ends a request whose time is up."""
+    """Return the error that ends a request past its deadline."""
     if active.out.begun:
         return writer.AnswerBrokenError(active.abort_code, active.name)
     return error.CodedError(
@@ -205,13 +204,13 @@
         step="relay",
         peer=active.name,
         status=504,
-        detail="the time of this request is up",
+        detail="the request timed out",
         outcome=error.OUTCOME_UNKNOWN,
     )
 
 
 def _end(active: direct_answer.ActiveAttempt, timer: Any) -> None:
-    """Stop the clock of an attempt and keep its connection if it is good."""
+    """Cancel the timer of an attempt; release or abort its connection."""
     active.request.on_disconnect = active.request.on_expire = None
     if timer.active():
         timer.cancel()
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
@@ -1,8 +1,8 @@
-"""Relays the answer of an upstream that an entry meets itself.
+"""Relays the answer of an upstream to which an entry sends directly.
 
-A stream goes on event by event, so that another upstream can take it up
-where one breaks; any other answer is read whole first, if it is not too
-large, so that one that breaks off can be asked for again.
+Streams are relayed event by event, so that they can resume at another
+upstream.  Other answers are buffered up to a limit, so that an interrupted
+one can be retried.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -17,25 +17,24 @@
 from . import attempt, call, writer
 from . import context as contexts
 
-# An upstream's answer from this status on is a failure of its own.
+# Answers with this status or above are failures of the upstream.
 MIN_FAILURE_STATUS = 500
 EVENT_STREAM = b"text/event-stream"
-# An answer up to this many bytes is read whole before it goes on, so that
-# one that breaks off can still be asked for again.
+# A longer answer is forwarded while it is read and can't be retried.
 MAX_BUFFERED_BYTES = 256 * 1024
 
 
 @dataclasses.dataclass(kw_only=True)
 class ActiveAttempt:
-    """One attempt that has a connection to its upstream.
+    """An attempt with a connection to its upstream.
 
     Attributes:
-      asked: The caller's request.
-      given: What the filters share.
-      out: Where the answer goes.
-      conn: The connection, this attempt's alone until it ends.
-      upstream: Where the request goes.
-      given_up: Code of the reason why it was ended, empty if it was not.
+      request: The caller's request.
+      context: The state that the filters share.
+      out: Writer of the answer.
+      conn: The connection, used by this attempt only until it ends.
+      upstream: The upstream.
+      abort_code: Error code with which it was aborted, empty if it was not.
     """
 
     request: call.Call
@@ -52,29 +51,29 @@
 
     @property
     def resume_after(self) -> int | None:
-        """Return the id of the last event that the caller has, if any."""
+        """Return the id of the last event that the caller received."""
         if self.out.last_id is None:
             return self.request.resume_after
         return self.out.last_id
 
     def abort_with(self, code: str) -> None:
-        """End the attempt, since the time of the request is up."""
+        """Abort the attempt with an error code."""
         self.abort_code = code
         self.conn.abort()
         self.out.stop_waiting()
 
     def lost(self, code: str) -> attempt.AttemptLostError:
-        """Return the error of an attempt that may have run."""
+        """Return the error for an attempt that may have run."""
         return attempt.AttemptLostError(code, peer=self.name, not_run=False)
 
 
 async def relay(active: ActiveAttempt) -> None:
-    """Read an answer and give it to the caller.
+    """Read an answer and relay it to the caller.
 
     Raises:
-      AttemptLostError: It came to nothing, or broke midway.
-      ExchangeError: The connection broke.
-      CallerLeftError: The caller has gone.
+      AttemptLostError: The attempt failed.
+      ExchangeError: The connection failed.
+      CallerDisconnectedError: The caller disconnected.
     """
     context = active.context
     began = context.clock.monotonic()
@@ -82,7 +81,7 @@
     if head.load is not None:
         context.membership.note_load(active.upstream.start, head.load)
     if _answers_request(active, head):
-        # The rest of the answer may take seconds, and others are to know.
+        # Applied before the body, which may take seconds to arrive.
         context.membership.note_rate_limit(
             active.upstream.start, head.rate_limit
         )
@@ -104,7 +103,7 @@
 
 
 def _record_backoff(active: ActiveAttempt, head: base.AnswerHead) -> None:
-    """Note for how long the upstream wants nothing more, if it says so."""
+    """Record the back-off that the upstream asked for, if any."""
     if head.status not in backoff.STATUSES:
         return
     if head.retry_after_s is not None:
@@ -116,10 +115,10 @@
 async def _refused(
     active: ActiveAttempt, head: base.AnswerHead
 ) -> attempt.AttemptLostError:
-    """Note that the upstream refused to run it; return the error."""
+    """Record the refusal of the upstream; return the error."""
     active.context.outages.note_refused(active.request, active.name)
     active.context.membership.note_refused(active.upstream.start)
-    # The rest of the answer goes nowhere, but the connection is kept.
+    # Drains the answer, so that the connection can be reused.
     while await active.conn.chunk() is not None:
         pass
     return attempt.AttemptLostError(
@@ -130,16 +129,16 @@
 
 
 def _answers_request(active: ActiveAttempt, head: base.AnswerHead) -> bool:
-    """Tell whether an answer is to this request; a refusal may name none."""
+    """Return whether an answer is to this request; refusals may omit it."""
     unnamed = head.not_run and not head.request_id
     return unnamed or head.request_id == active.request.id
 
 
 def _check_request_id(active: ActiveAttempt, head: base.AnswerHead) -> None:
-    """See that an answer is to this request and no other.
+    """Check that an answer is to this request.
 
     Raises:
-      AttemptLostError: It is not; the connection is out of step.
+      AttemptLostError: It is to another; the connection is aborted.
     """
     if head.request_id != active.request.id:
         active.conn.abort()
@@ -148,10 +147,10 @@
 
 
 def _check_time(active: ActiveAttempt) -> None:
-    """See that an answer may go on.
+    """Check that the attempt was not aborted while the caller was slow.
 
     Raises:
-      ExchangeError: Its time was up while it waited for its caller.
+      ExchangeError: It was aborted.
     """
     if active.abort_code:
         raise connection.ExchangeError(
@@ -167,11 +166,10 @@
 
 
 async def _relay_body(active: ActiveAttempt, head: base.AnswerHead) -> None:
-    """Relay an answer in one piece, or from WHOLE_BYTES on as it comes."""
+    """Relay an answer; above MAX_BUFFERED_BYTES, while it is read."""
     out = active.out
     if out.begun:
-        # A stream was to go on, but the upstream answers with something
-        # else; what it says has no place in the answer that has begun.
+        # A stream was to be resumed, but this answer is no stream.
         raise active.lost(f"upstream-{head.status}")
     body = bytearray()
     while (piece := await active.conn.chunk()) is not None:
@@ -192,11 +190,11 @@
 def _send_body(
     active: ActiveAttempt, head: base.AnswerHead, body: bytes
 ) -> None:
-    """Give an answer on in one piece, unless another upstream may do better.
+    """Send a buffered answer, unless the request may be retried.
 
     Raises:
-      AttemptLostError: The upstream failed, and asking again does no harm;
-        its answer is kept for the case that no other can be asked.
+      AttemptLostError: The upstream failed and the request is idempotent;
+        the error has the answer, in case no other upstream is tried.
     """
     if head.status >= MIN_FAILURE_STATUS and active.request.idempotent:
         lost = active.lost(f"upstream-{head.status}")
@@ -208,7 +206,7 @@
 
 
 async def _relay_events(active: ActiveAttempt, head: base.AnswerHead) -> None:
-    """Relay a stream event by event, from the last that the caller has."""
+    """Relay a stream event by event, after the last one received."""
     out = active.out
     cutter = events.EventParser()
     last_at: float | None = None
@@ -230,10 +228,10 @@
 
 
 def _check_order(active: ActiveAttempt, complete: list[events.Event]) -> None:
-    """See that ids go on by one from the last that the caller has.
+    """Check that event ids are consecutive.
 
     Raises:
-      AttemptLostError: They do not; nothing of these events is given on.
+      AttemptLostError: They are not; none of these events is forwarded.
     """
     last = active.resume_after
     for item in complete:
@@ -246,7 +244,7 @@
 def _send_events(
     active: ActiveAttempt, head: base.AnswerHead, complete: list[events.Event]
 ) -> None:
-    """Give events on and note the last, where a stream may be taken up."""
+    """Forward events and record the last id, for resumption."""
     out = active.out
     if not out.begun:
         contexts.record_first_byte(active.request, active.context)
@@ -258,7 +256,7 @@
 
 
 def _record_pause(active: ActiveAttempt, last_at: float | None) -> float:
-    """Note the pause since the last events; return the time of these."""
+    """Record the pause since the last events; return the current time."""
     now = active.context.clock.monotonic()
     if last_at is not None:
         active.context.membership.note_pause(active.request, now - last_at)
@@ -266,6 +264,6 @@
 
 
 def _garbled(active: ActiveAttempt) -> attempt.AttemptLostError:
-    """Return the error of a stream that does not go on as it should."""
+    """Abort the connection; return the error of a malformed stream."""
     active.conn.abort()
     return active.lost("garbled")
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/expiry.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/expiry.py
@@ -1,7 +1,7 @@
-"""Ends the requests that a stopping process can wait for no longer.
+"""Ends the remaining requests when a process stops.
 
-Each gets an answer, which a connection that just closes would not be: the
-promise that it has not run where that is so, else that its end is unknown.
+Each caller gets an error instead of a closed connection, stating whether its
+request has not run or its outcome is unknown.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -12,12 +12,12 @@
 from . import call
 from . import context as contexts
 
-# The code of requests that are ended so.
+# Error code of requests that are ended by a stop.
 STOPPING = "stopping"
 
 
 def expire_all(context: contexts.Context) -> int:
-    """End the time of all requests in progress; return their number."""
+    """Expire all requests in progress; return their number."""
     expired = list(context.calls)
     for request in expired:
         _expire(request, context)
@@ -25,7 +25,7 @@
 
 
 def _expire(request: call.Call, context: contexts.Context) -> None:
-    """End one request; no other attempt follows, as its time is up."""
+    """Expire one request; past its deadline it is not retried."""
     now = context.clock.monotonic()
     request.answer_deadline = min(request.answer_deadline, now)
     request.deadline = min(request.deadline, now)
@@ -38,11 +38,11 @@
 def _refusal(
     request: call.Call, context: contexts.Context
 ) -> error.CodedError:
-    """Return the refusal of a request that waits for a slot."""
+    """Return the error for a request that waits for a slot."""
     return error.CodedError(
         STOPPING,
         step="admit",
         status=503,
-        detail="this entry stops before a slot comes free",
+        detail="this entry is stopping; no slot became free",
         retry_after_s=context.retry_after_s(request),
     )
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/identify.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/identify.py
@@ -1,4 +1,4 @@
-"""First filter: the bearer key tells the workspace."""
+"""Filter that identifies the workspace by the bearer key."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -26,8 +26,7 @@
             retry_after_s=1,
         )
     header = request.http.getHeader("authorization") or ""
-    # The key is looked up by its digest, so the time that a comparison
-    # takes tells nothing of the key.
+    # Lookup by digest: the time of a comparison reveals nothing of the key.
     digest = model.digest_of_key(header.removeprefix(BEARER))
     name = context.workspace_by_digest(digest)
     if not header.startswith(BEARER) or name is None:
@@ -35,6 +34,6 @@
             "unauthorized",
             step="identify",
             status=401,
-            detail="the bearer key belongs to no workspace",
+            detail="no workspace has this bearer key",
         )
     request.workspace = context.config.state.workspaces_by_name[name]
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/limit.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/limit.py
@@ -1,4 +1,4 @@
-"""Third filter: a workspace has only so many requests in progress."""
+"""Filter that limits the requests in progress of a workspace."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/outage.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/outage.py
@@ -1,4 +1,4 @@
-"""Filter: while a whole group refuses work, so does the entry, at once."""
+"""Filter that fails fast while all upstreams of a group refuse requests."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,10 +10,10 @@
 
 
 async def check_outage(request: call.Call, context: contexts.Context) -> None:
-    """Refuse a request whose group is out, but for one now and then.
+    """Refuse a request whose group is out, except for occasional probes.
 
     Raises:
-      CodedError: "group-out", 503, with when to come back.
+      CodedError: "group-out", 503, with Retry-After.
     """
     if context.outages.lets_through(request):
         return
@@ -22,6 +22,6 @@
         step="outage",
         peer=request.target,
         status=503,
-        detail="all upstreams of this group refuse work",
+        detail="all upstreams of this group refuse requests",
         retry_after_s=outage.retry_after_s(context.remaining_s(request)),
     )
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/relay.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/relay.py
@@ -1,9 +1,8 @@
-"""Last filter: sends a request to upstreams and its answer to the caller.
+"""Last filter: sends a request to upstreams and relays the answer.
 
-An attempt is followed by another only where that does no harm: it is
-proved not to have run, or running it twice is allowed.  A stream that
-breaks midway goes on at another upstream from the event after the last
-one the caller got.
+A failed attempt is retried only if it provably did not run or the request is
+idempotent.  An interrupted stream resumes at another upstream after the last
+event that the caller received.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -15,10 +14,9 @@
 from . import attempt as attempts
 from . import context as contexts
 
-# A stream that lost its upstream waits this long for a slot elsewhere.
+# Maximum wait of an interrupted stream for a slot of another upstream.
 RESUME_TIMEOUT_S = 20.0
-# 503 tells the caller that nothing ran; where that is not proved, the
-# status must be another.
+# 503 states that nothing ran; if that is not proved, 502 is sent.
 NOT_RUN_STATUS = 503
 RAN_STATUS = 502
 
@@ -27,8 +25,8 @@
     """Run a request and write its answer.
 
     Raises:
-      CodedError: No answer could be begun; its outcome is stated.
-      writer.BrokenError: The answer broke off after it had begun.
+      CodedError: The request failed before its answer began.
+      writer.AnswerBrokenError: The answer was interrupted.
     """
     out = writer.make(request, context)
     context.budget = retry.deposit(
@@ -58,10 +56,10 @@
     tries: int,
     ran: bool,
 ) -> bool:
-    """Prepare another attempt; False if the caller got the last answer.
+    """Prepare another attempt; False if the last answer was sent instead.
 
-    An upstream that failed a request by itself said so in an answer; where
-    no other may be tried, that is what the caller gets.
+    If no other upstream may be tried, the caller receives the error answer
+    of the last upstream, if there is one.
     """
     try:
         await _prepare_retry(request, context, out, lost, tries, ran)
@@ -85,7 +83,7 @@
     tries: int,
     ran: bool,
 ) -> None:
-    """Prepare another attempt, or end the request with an error."""
+    """Prepare another attempt or raise the error that ends the request."""
     if request.disconnected:
         raise writer.CallerDisconnectedError
     if request.idempotency_key:
@@ -106,9 +104,8 @@
         remaining_s=remaining_s if not out.begun else retry.MIN_REMAINING_S,
         max_attempts=request.max_attempts,
     )
-    # A stream that goes on elsewhere brings only the load that its lost
-    # upstream has shed, and sessions must not be dropped: it is no retry,
-    # except where the operators of routes count it as one.
+    # Resuming a stream adds no load beyond that of the failed upstream, so it
+    # does not use the retry budget, except on routes.
     free = lost.unsent or (out.events > 0 and request.route is None)
     budget = context.budget if free else retry.withdraw(context.budget)
     if not worth or budget is None:
@@ -131,7 +128,7 @@
     lost: attempts.AttemptLostError,
     ran: bool,
 ) -> None:
-    """Wait for a slot once more; a stream goes ahead of new requests."""
+    """Wait for a slot; a stream has priority over new requests."""
     if out.events:
         request.priority = 0
         wait_until = context.clock.monotonic() + RESUME_TIMEOUT_S
@@ -156,7 +153,7 @@
     lost: attempts.AttemptLostError,
     ran: bool,
 ) -> Exception:
-    """Return the error that ends a request, with its true outcome."""
+    """Return the error that ends a request, with its outcome."""
     if out.begun:
         request.outcome = error.OUTCOME_UNKNOWN
         return writer.AnswerBrokenError(lost.code, lost.peer)
@@ -166,7 +163,7 @@
         peer=lost.peer,
         status=NOT_RUN_STATUS if not ran else RAN_STATUS,
         detail="the upstream did not answer this request",
-        # What the lost upstream asked for is not what the others need.
+        # The Retry-After of the failed upstream does not apply to others.
         retry_after_s=context.retry_after_s(request),
         outcome=error.OUTCOME_UNKNOWN if ran else error.OUTCOME_NOT_RUN,
     )
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
@@ -1,4 +1,4 @@
-"""First filter where there are routes: host and path tell the target."""
+"""Filter that finds the route of a request by host and path."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,10 +10,10 @@
 from . import call
 from . import context as contexts
 
-# The workspace of requests that need no key.
+# Workspace of requests without a key.
 PUBLIC = model.Workspace(name="public", key_digests=(), max_running=1 << 30)
-# A request that no upstream has got after this part of its goal is refused,
-# so that its caller can still come back in time.
+# Fraction of a route's goal that a request may wait for an upstream before it
+# is refused; the rest leaves the caller time for a retry.
 MAX_WAIT_FRACTION = 0.22
 
 
@@ -49,12 +49,12 @@
 def _workspace(
     request: call.Call, context: contexts.Context, matched: route.Route
 ) -> model.Workspace:
-    """Return whose request it is; a known key counts on any route."""
+    """Return the workspace of a request; a valid key counts on any route."""
     state = context.config.state
     name = None
     if request.key:
-        # The key is looked up by its digest, so the time that a comparison
-        # takes tells nothing of the key.
+        # Lookup by digest: the time of a comparison reveals nothing of the
+        # key.
         name = context.workspace_by_digest(model.digest_of_key(request.key))
     if name is not None:
         return state.workspaces_by_name[name]
@@ -64,14 +64,14 @@
         "unauthorized",
         step="route",
         status=401,
-        detail="the bearer key belongs to no workspace",
+        detail="no workspace has this bearer key",
     )
 
 
 def _apply_route(
     request: call.Call, context: contexts.Context, matched: route.Route
 ) -> None:
-    """Take from the route how a request is treated."""
+    """Apply the settings of a route to a request."""
     request.target = route.target(matched, request.id)
     request.priority = matched.priority or 0
     if request.workspace is not PUBLIC:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/suspect.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/suspect.py
@@ -1,4 +1,4 @@
-"""Filter: a request that crashes upstreams is sent to none of them."""
+"""Filter that refuses requests known to crash upstreams."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -8,15 +8,15 @@
 from . import call
 from . import context as contexts
 
-# The code of the refusal.
+# Error code of the refusal.
 CRASHES = "crashes-upstreams"
 
 
 async def check_suspect(request: call.Call, context: contexts.Context) -> None:
-    """Refuse a request that has crashed the upstreams that ran it.
+    """Refuse a request that crashed the upstreams that ran it.
 
     Raises:
-      CodedError: "crashes-upstreams", 503: this time it has not run.
+      CodedError: "crashes-upstreams", 503: this time it was not run.
     """
     seconds = context.suspects.convicted_s(request)
     if not seconds:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/writer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/writer.py
@@ -1,4 +1,4 @@
-"""Writes an answer to the caller, in the form that the caller asked for."""
+"""Writers of answers, in the form that the caller requested."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -21,15 +21,15 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller has closed its connection."""
+    """The caller closed its connection."""
 
 
 class AnswerBrokenError(Exception):
-    """An answer broke off after it had begun.
+    """An answer was interrupted after it had begun.
 
     Attributes:
-      code: Why.
-      peer: The upstream.
+      code: Error code.
+      peer: Name of the upstream.
     """
 
     def __init__(self, code: str, peer: str) -> None:
@@ -40,13 +40,13 @@
 
 @implementer(interfaces.IPushProducer)
 class Writer:
-    """Base: keeps step with how fast the caller reads.
+    """Base class: applies back-pressure from the caller to the upstream.
 
     Attributes:
-      begun: Whether anything has gone to the caller.
-      resumable: Whether another attempt can go on where one broke.
-      events: Events of a stream given so far.
-      last_id: Id of the last of them, None where ids play no part.
+      begun: Whether anything was sent to the caller.
+      resumable: Whether another attempt can continue the answer.
+      events: Number of events sent.
+      last_id: Id of the last event, None if events have no ids.
     """
 
     resumable = False
@@ -63,33 +63,33 @@
         self._paused: defer.Deferred | None = None
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Hold back: the caller reads slower than the answer comes."""
+        """Pause: the buffer to the caller is full."""
         if self._paused is None:
             self._paused = defer.Deferred()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on."""
+        """Resume after a pause."""
         paused, self._paused = self._paused, None
         if paused is not None:
             paused.callback(None)
 
     def stop_waiting(self) -> None:
-        """Wait for the caller no longer: the time of the request is up.
+        """Stop waiting for a caller that does not read.
 
-        One that has stopped reading would hold the request and its slot.
+        It would otherwise hold the request and its slot past the deadline.
         """
         self.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Give up: the connection is gone."""
+        """Stop: the caller's connection is closed."""
         self._request.disconnected = True
         self.resumeProducing()
 
     async def drained(self) -> None:
-        """Wait until the caller has room.
+        """Wait until the buffer to the caller has drained.
 
         Raises:
-          CallerLeftError: There is no caller any more.
+          CallerDisconnectedError: The caller disconnected.
         """
         if self._paused is not None:
             await self._paused
@@ -120,11 +120,11 @@
 
 
 class Passthrough(Writer):
-    """An upstream's answer as it is, for callers that know it."""
+    """Forwards an upstream's answer unaltered, for routes."""
 
     @property
     def resumable(self) -> bool:
-        """Whether the route lets a stream go on at another upstream."""
+        """Whether the route allows streams to resume at another upstream."""
         found = self._request.route
         return found is not None and found.resumable
 
@@ -139,8 +139,8 @@
 
         Args:
           status: HTTP status.
-          headers: Headers that go on.
-          length: Size of the body, if it is at hand.
+          headers: Headers to forward.
+          length: Size of the body in bytes, if known.
         """
         self._begin(status)
         for name, value in headers:
@@ -150,12 +150,12 @@
 
 
 class Events(Writer):
-    """An event stream, event by event."""
+    """Sends an event stream event by event."""
 
     resumable = True
 
     def begin(self, status: int, headers: Sequence[Any]) -> None:
-        """Send the head; an error status makes it a plain answer."""
+        """Send the head; an answer with an error status is no stream."""
         self._plain = status != OK
         super().begin(status, headers)
 
@@ -168,14 +168,14 @@
         self._http.write(b"".join(b"data: %b\n\n" % c for c in chunks))
 
     def finish(self) -> None:
-        """Send the end event, by which the caller knows it has all."""
+        """Send the end event, which marks the answer as complete."""
         if not self._plain:
             self._http.write(b"data: [DONE]\n\n")
         super().finish()
 
 
 class Collected(Writer):
-    """An event stream gathered into one JSON answer."""
+    """Collects an event stream into one JSON answer."""
 
     def __init__(
         self, *, request: call.Call, context: contexts.Context
@@ -187,16 +187,16 @@
 
     @property
     def resumable(self) -> bool:
-        """Nothing has gone out, so any attempt can go on."""
+        """Always: nothing is sent before the answer is complete."""
         return True
 
     def begin(self, status: int, headers: Sequence[Any]) -> None:
-        """Keep the head until the answer is whole."""
+        """Store the head until the answer is complete."""
         self._status = status
         self._headers = headers
 
     def write(self, chunks: Sequence[bytes]) -> None:
-        """Keep chunks until the answer is whole."""
+        """Store chunks until the answer is complete."""
         self._events += chunks
         if self._status == OK:
             self.events += len(chunks)
@@ -228,14 +228,14 @@
 
 
 def gather(events: Sequence[bytes]) -> dict[str, Any]:
-    """Join the events of a completion into the answer of one piece.
+    """Merge the events of a completion into one answer.
 
     Args:
-      events: JSON of the chunks, in order, as OpenAI-style engines
+      events: JSON of the chunks, in order, as OpenAI-compatible engines
         stream them.
 
     Returns:
-      A completion object with the text of all chunks.
+      The completion object with the text of all chunks.
     """
     answer: dict[str, Any] = {}
     text: list[str] = []
