--- a/packages/reelscale-core/src/reelscale_core/announcement.py
+++ b/packages/reelscale-core/src/reelscale_core/announcement.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, and the list that comes of it."""
+"""Announcements of upstreams and the list built from them."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -9,13 +9,13 @@
 class Start(NamedTuple):
     """One start of an upstream's process.
 
-    An upstream may start again under the id that it had; it then knows
-    nothing of before, so nothing believed of one start holds for another.
+    An upstream may restart under the same id without any state, so what was
+    recorded about one start does not apply to the next.
 
     Attributes:
       name: Id of the upstream.
-      born_ms: Unix time of the start in milliseconds; None if it is not
-        told, and then every start has an id of its own.
+      born_ms: Unix time of the start in milliseconds; None if not stated,
+        in which case every start has its own id.
     """
 
     name: str
@@ -23,32 +23,32 @@
 
     @property
     def key(self) -> str:
-        """Return a text that no other start has."""
+        """Return a unique key of the start."""
         if self.born_ms is None:
             return self.name
         return f"{self.name}@{self.born_ms}"
 
     def was_running_at(self, unix_s: float) -> bool:
-        """Tell whether it may have answered at a time.
+        """Return whether the start may have answered at a time.
 
-        A start is heard of some time after its birth; until then its answers
-        seem to be those of the start before it.
+        A start is announced some time after it began; until then its answers
+        are attributed to the start before it.
         """
         return self.born_ms is None or self.born_ms <= unix_s * 1000
 
 
 class Announcement(NamedTuple):
-    """One start of an upstream's process, as it announced itself.
+    """One start of an upstream's process, as announced.
 
     Attributes:
-      name: Its id; it may have been that of an earlier start.
+      name: Id of the upstream; earlier starts may have had the same.
       target: The group or service that it serves.
-      address: "ip:port" at which it serves.
+      address: Its "ip:port".
       hall: Its data hall.
-      slots: Requests that it works on at once.
-      leaving: Whether it is about to end and takes no new work.
-      cold_s: How much longer it is slow after its start, in seconds.
-      born_ms: Unix time of its start in milliseconds, if it told.
+      slots: Requests that it runs concurrently.
+      leaving: Whether it is stopping and accepts no new requests.
+      cold_s: Remaining seconds of its warm-up.
+      born_ms: Unix time of its start in milliseconds, if stated.
     """
 
     name: str
@@ -62,27 +62,27 @@
 
     @property
     def start(self) -> Start:
-        """Return which start this is."""
+        """Return the start that is announced."""
         return Start(self.name, self.born_ms)
 
 
 class Withdrawn(NamedTuple):
-    """An upstream's announcement has been taken away.
+    """An upstream's announcement has been removed.
 
     Attributes:
-      name: Its id.
+      name: Id of the upstream.
     """
 
     name: str
 
 
 class Unusable(NamedTuple):
-    """An announcement cannot be trusted, so it names no upstream to use.
+    """An invalid announcement; its upstream is not used.
 
     Attributes:
-      name: The id that it stands under.
-      reason: What is wrong, as one word of a small set.
-      detail: The same for people.
+      name: Id of the upstream.
+      reason: What is wrong, as one word of a fixed set.
+      detail: What is wrong, in words.
     """
 
     name: str
@@ -90,17 +90,17 @@
     detail: str
 
 
-# What a list of upstreams holds.
+# A record in the list of upstreams.
 Item = Announcement | Withdrawn | Unusable
 
 
 class Load(NamedTuple):
-    """How busy an upstream is, as it says in its answers.
+    """The load that an upstream reports in its answers.
 
     Attributes:
-      running: Requests that it works on.
-      waiting: Requests that wait there.
-      slots: Requests that it works on at once.
+      running: Requests that it runs.
+      waiting: Requests queued there.
+      slots: Requests that it runs concurrently.
     """
 
     running: int
--- a/packages/reelscale-core/src/reelscale_core/fold.py
+++ b/packages/reelscale-core/src/reelscale_core/fold.py
@@ -1,8 +1,8 @@
-"""Folds the log's records into the configuration.
+"""Folds the records of the log into the configuration.
 
-The fold is a pure function of the state and the record, so every reader
-reaches the same verdicts.  The log need not compare before it appends: of
-two conflicting confirmations the first in offset order wins.
+The fold is a pure function of state and record, so all readers reach the same
+verdicts.  The log needs no compare-and-append: of two conflicting
+confirmations the first in offset order wins.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -16,14 +16,14 @@
 from . import change, model, record, route
 from .state import Lease, Membership, State, Verdict
 
-# Plans and verdicts are forgotten after this many offsets, by every reader
-# at the same record.
-PLAN_LIFE = 20_000
+# Offsets for which plans and verdicts are kept; all readers prune at the same
+# record.
+PLAN_RETENTION = 20_000
 PRUNE_EVERY = 256
-# Memberships of a target that are remembered for keys that moved.
-MEMBERSHIPS_KEPT = 64
-# Layouts before the newest that ranks may still be on.
-LAYOUTS_KEPT = 3
+# Memberships of a target, to find previous owners of keys.
+MAX_MEMBERSHIPS = 64
+# Layouts before the newest that ranks may still use.
+MAX_EARLIER_LAYOUTS = 3
 
 
 def step(state: State, offset: int, data: Any) -> State:
@@ -36,15 +36,14 @@
 
     Returns:
       The state with the record folded in; the same state if the offset is
-      not higher than the state's, so that nothing ever reverts.
+      not higher than the state's.
     """
     if offset <= state.offset:
         return state
     try:
         state = _apply(state, offset, record.from_json(data))
     except (AttributeError, KeyError, TypeError, ValueError):
-        # A record that cannot be applied must not stop the readers; being
-        # pure, the fold fails on it for all of them alike.
+        # Skip a record that cannot be applied: all readers skip the same ones.
         pass
     if offset % PRUNE_EVERY == 0:
         state = _prune(state, offset)
@@ -59,11 +58,11 @@
 
 
 def problem(state: State, changes: Iterable[change.Change]) -> str:
-    """Say why changes cannot be applied, or return an empty string."""
+    """Return why changes cannot be applied, or an empty string."""
     for item in changes:
-        found = _problem(state, item)
-        if found:
-            return found
+        reason = _problem(state, item)
+        if reason:
+            return reason
         state = _change(state, 0, item)
     return ""
 
@@ -78,7 +77,7 @@
 
 
 def conflict(state: State, plan: record.PlanRecord) -> str:
-    """Name what has overtaken a plan since it was made, if anything."""
+    """Return what conflicts with a plan since its base, or an empty string."""
     for item in plan.changes:
         key = change.touched(item)
         at = state.changed_by_key.get(key, -1)
@@ -105,7 +104,7 @@
 
 
 def _replace_config(state: State, item: record.FullConfigRecord) -> State:
-    """Take a whole configuration, unless a newer one is in force."""
+    """Replace the configuration, unless the current one is newer."""
     if item.version <= state.version:
         return state
     workspaces = [model.workspace(row) for row in item.workspaces]
@@ -125,7 +124,7 @@
 
 
 def _confirm(state: State, offset: int, plan_id: str) -> State:
-    """Judge a confirmation; only the first of a plan counts."""
+    """Decide on a confirmation; only the first of a plan has an effect."""
     if plan_id in state.verdicts_by_id:
         return state
     verdict = Verdict(accepted=True, offset=offset)
@@ -133,12 +132,12 @@
     if row is None:
         verdict = Verdict(False, offset, "unknown-plan", "no such plan")
     else:
-        overtaken = conflict(state, row[1])
-        wrong = problem(state, row[1].changes)
-        if overtaken:
-            verdict = Verdict(False, offset, "conflict", overtaken)
-        elif wrong:
-            verdict = Verdict(False, offset, "refused", wrong)
+        conflicting = conflict(state, row[1])
+        reason = problem(state, row[1].changes)
+        if conflicting:
+            verdict = Verdict(False, offset, "conflict", conflicting)
+        elif reason:
+            verdict = Verdict(False, offset, "refused", reason)
         else:
             state = apply(state, offset, row[1].changes)
         plans = state.plans_by_id.delete(plan_id)
@@ -148,7 +147,7 @@
 
 
 def _lease(state: State, offset: int, item: record.LeaseRecord) -> State:
-    """Accept a claim only if nobody claimed since its author looked."""
+    """Accept a claim only if it replaces the newest accepted claim."""
     held = state.leases_by_name.get(item.name)
     if item.replaces != (held.offset if held else 0):
         return state
@@ -229,14 +228,14 @@
 
 def _set_layout(state: State, name: str, layout: model.Layout) -> State:
     old = state.groups_by_name[name]
-    earlier = (*old.earlier, old.layout)[-LAYOUTS_KEPT:]
+    earlier = (*old.earlier, old.layout)[-MAX_EARLIER_LAYOUTS:]
     new = old._replace(layout=layout, earlier=earlier)
     rows = state.groups_by_name.set(name, new)
     return state._replace(groups_by_name=rows)
 
 
 def _put_group(state: State, put: model.Group) -> State:
-    """Replace a group but keep the layout that its ranks are on."""
+    """Create or replace a group, keeping its layouts."""
     old = state.groups_by_name.get(put.name)
     if old is not None:
         put = put._replace(layout=old.layout, earlier=old.earlier)
@@ -269,9 +268,9 @@
 
 
 def _remove_member(state: State, target: str, name: str) -> State:
-    """Take an upstream that is certainly off out of the memberships.
+    """Remove an upstream that is fenced off from all memberships.
 
-    Later homes of its keys then need not wait for its answer.
+    Later owners of its keys then need not wait for its answer.
     """
     rows = tuple(
         row._replace(members=tuple(m for m in row.members if m != name))
@@ -282,7 +281,7 @@
 
 
 def _record_members(state: State, offset: int, target: str) -> State:
-    """Remember who serves a target, if that has changed."""
+    """Append the membership of a target if it has changed."""
     now = tuple(
         sorted(
             item.name
@@ -296,16 +295,16 @@
     if rows and rows[-1].members == now:
         return state
     if rows and rows[-1].offset == offset:
-        # Within one record only the last membership is ever in force.
+        # Of the memberships within one record only the last takes effect.
         rows = rows[:-1]
-    rows = (*rows, Membership(offset, now))[-MEMBERSHIPS_KEPT:]
+    rows = (*rows, Membership(offset, now))[-MAX_MEMBERSHIPS:]
     table = state.members_by_target.set(target, rows)
     return state._replace(members_by_target=table)
 
 
 def _prune(state: State, offset: int) -> State:
-    """Forget plans and verdicts past their life."""
-    limit = offset - PLAN_LIFE
+    """Remove plans and verdicts past their retention."""
+    limit = offset - PLAN_RETENTION
     plans = state.plans_by_id
     for key, row in plans.items():
         if row[0] < limit:
--- a/packages/reelscale-core/src/reelscale_core/placement.py
+++ b/packages/reelscale-core/src/reelscale_core/placement.py
@@ -1,13 +1,13 @@
 """Places experts on the ranks of a group.
 
 A layer's placement is a list of slots, each holding an expert; rank r owns
-an equal run of them.  The tokens of an expert split evenly over its
-replicas.  A step lasts as long as its most loaded rank, so the measure is
-skew: the largest rank load over the mean.
+an equal range of them.  The tokens of an expert split evenly over its
+replicas.  A step takes as long as its most loaded rank, so the measure is
+skew: the maximum rank load over the mean.
 
-The solver starts from the current placement and makes one replacement or
-exchange at a time, each the best it finds, as long as what it gains
-outweighs what moving weights costs.
+The solver is a greedy local search from the current placement: one
+replacement or exchange at a time, as long as its gain outweighs the cost of
+moving weights.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -17,21 +17,21 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-# Experts and ranks that are looked at from each end when a move is chosen.
-WIDTH = 8
-# A move must lower the sum of squared relative rank loads by this much
-# times the cost weight over the skew weight.
+# Experts and ranks tried from each end of the order by load.
+SEARCH_WIDTH = 8
+# Minimum reduction of the sum of squared relative rank loads per move, times
+# the cost weight over the skew weight.
 GAIN_PER_MOVE = 0.02
 MIN_WEIGHT = 0.01
 
 
 class Layer(NamedTuple):
-    """What is to be solved for one layer.
+    """The placement and the load of one layer.
 
     Attributes:
       slots: Expert in each slot, by rank.
-      loads: Tokens of each expert, forecast.
-      per_rank: Slots of a rank.
+      loads: Forecast tokens of each expert.
+      per_rank: Slots per rank.
     """
 
     slots: tuple[int, ...]
@@ -40,13 +40,13 @@
 
 
 class Cost(NamedTuple):
-    """What a change of placement gains and costs.
+    """Gain and cost of a change of placement.
 
     Attributes:
-      skew_before: Largest over mean rank load, as it is.
-      skew_after: The same, as it would be.
-      bound: No placement with that many slots has a lower skew.
-      moves: Slots that have to load another expert.
+      skew_before: Skew of the current placement.
+      skew_after: Skew of the new placement.
+      bound: Lower bound of the skew with that many slots.
+      moves: Slots that load another expert.
     """
 
     skew_before: float
@@ -56,7 +56,7 @@
 
 
 def uniform(*, ranks: int, experts: int, per_rank: int) -> tuple[int, ...]:
-    """Return a placement that knows nothing of loads."""
+    """Return a placement that assumes equal loads."""
     return tuple(slot % experts for slot in range(ranks * per_rank))
 
 
@@ -74,14 +74,14 @@
 
 
 def skew(layer: Layer) -> float:
-    """Return the largest rank load over the mean; 1 without load."""
+    """Return the maximum rank load over the mean; 1 without load."""
     loads = rank_loads(layer)
     mean = sum(loads) / len(loads)
     return max(loads) / mean if mean > 0 else 1.0
 
 
 def bound(layer: Layer) -> float:
-    """Return a skew that no placement with these slots can go below."""
+    """Return a lower bound of the skew with these slots."""
     counts = spread(layer.loads, len(layer.slots))
     worst = max(load / n for load, n in zip(layer.loads, counts, strict=True))
     ranks = len(layer.slots) // layer.per_rank
@@ -90,7 +90,7 @@
 
 
 def spread(loads: Sequence[float], slots: int) -> list[int]:
-    """Return replica counts that make the largest replica smallest."""
+    """Return replica counts that minimize the maximum replica load."""
     counts = [1] * len(loads)
     heap = [(-load, expert) for expert, load in enumerate(loads)]
     heapq.heapify(heap)
@@ -103,9 +103,9 @@
 
 
 def repack(layer: Layer) -> tuple[int, ...]:
-    """Place from nothing: spread replicas, then longest first.
+    """Place from scratch: spread replicas, then largest load first.
 
-    The baseline that ignores what moving costs.
+    The baseline for comparisons, which ignores the cost of moves.
     """
     ranks = len(layer.slots) // layer.per_rank
     counts = spread(layer.loads, len(layer.slots))
@@ -125,7 +125,7 @@
 
 
 def moves(old: Sequence[int], new: Sequence[int], per_rank: int) -> int:
-    """Count the experts that ranks must load to go from old to new."""
+    """Return how many experts ranks must load to change from old to new."""
     count = 0
     for start in range(0, len(old), per_rank):
         have = list(old[start : start + per_rank])
@@ -143,30 +143,30 @@
     """Improve a layer's placement one move at a time.
 
     Args:
-      layer: Where to start from.
+      layer: The current placement and its load.
       skew_weight: Weight of skew against moved weights, 0 to 1.
-      budget: Experts that may be loaded at most.
+      budget: Maximum experts to load.
 
     Yields:
-      The placement after each move, so that the caller can stop or give
-      way to other work between moves.
+      The placement after each move, so that the caller can stop or yield
+      to other work between moves.
     """
     work = _Work(layer)
     weight = max(skew_weight, MIN_WEIGHT)
-    least = GAIN_PER_MOVE * (1 - skew_weight) / weight
+    min_gain = GAIN_PER_MOVE * (1 - skew_weight) / weight
     while budget > 0:
         step = work.best()
-        if step is None or step.gain / step.cost <= least + 1e-9:
+        if step is None or step.gain / step.cost <= min_gain + 1e-9:
             return
         if step.cost > budget:
             return
-        work.make(step)
+        work.apply(step)
         budget -= step.cost
         yield tuple(work.slots)
 
 
 class _Step(NamedTuple):
-    """Slot first gets expert_first; for an exchange, second likewise."""
+    """Put expert_first into slot first, and in an exchange second likewise."""
 
     gain: float
     cost: int
@@ -177,7 +177,7 @@
 
 
 class _Work:
-    """A placement under change, with rank loads relative to the mean."""
+    """A placement being solved, with rank loads relative to the mean."""
 
     def __init__(self, layer: Layer) -> None:
         self.per_rank = layer.per_rank
@@ -194,42 +194,42 @@
         ]
 
     def best(self) -> _Step | None:
-        """Return the step with the largest gain for its cost."""
+        """Return the step with the maximum ratio of gain to cost."""
         steps = [*self._replacements(), *self._exchanges()]
         return max(steps, key=lambda s: s.gain / s.cost, default=None)
 
-    def make(self, step: _Step) -> None:
-        """Carry a step out."""
+    def apply(self, step: _Step) -> None:
+        """Apply a step."""
         delta = self._delta(step)
         for rank, change in delta.items():
             self.loads[rank] += change
-        self._put(step.first, step.expert_first)
+        self._place(step.first, step.expert_first)
         if step.second >= 0:
-            self._put(step.second, step.expert_second)
+            self._place(step.second, step.expert_second)
 
-    def _put(self, slot: int, expert: int) -> None:
+    def _place(self, slot: int, expert: int) -> None:
         self.places[self.slots[slot]].remove(slot)
         self.slots[slot] = expert
         self.places[expert].append(slot)
 
     def _replacements(self) -> Iterator[_Step]:
-        """Give a hot expert one more replica in place of a spare one."""
+        """Yield steps that replace a spare replica by one of a hot expert."""
         share = self._share
         hot = sorted(range(len(self.experts)), key=lambda e: -share(e))
         spare = [e for e, where in enumerate(self.places) if len(where) > 1]
         spare.sort(key=self._share_without)
-        for expert in hot[:WIDTH]:
-            for victim in spare[:WIDTH]:
+        for expert in hot[:SEARCH_WIDTH]:
+            for victim in spare[:SEARCH_WIDTH]:
                 if victim == expert:
                     continue
-                for slot in self._lightest(victim, expert):
+                for slot in self._victim_slots(victim, expert):
                     yield self._scored(_Step(0.0, 1, slot, expert))
 
     def _exchanges(self) -> Iterator[_Step]:
-        """Swap an expert of the most loaded rank with a lighter one."""
+        """Yield swaps of a slot of the most loaded rank with a lighter one."""
         order = sorted(range(self.ranks), key=lambda r: self.loads[r])
         top = order[-1]
-        for other in order[: WIDTH * 2]:
+        for other in order[: SEARCH_WIDTH * 2]:
             if other == top:
                 continue
             yield from self._swaps(top, other)
@@ -237,15 +237,15 @@
     def _swaps(self, top: int, other: int) -> Iterator[_Step]:
         """Yield the best swap of two slots between two ranks, if any."""
         gap = self.loads[top] - self.loads[other]
-        mine = self._movable(top, other)
-        theirs = self._movable(other, top)
+        from_top = self._movable(top, other)
+        from_other = self._movable(other, top)
         best = None
-        for first, load in mine:
-            for second, less in theirs:
-                moved = load - less
+        for first, load in from_top:
+            for second, lighter in from_other:
+                moved = load - lighter
                 if not 0 < moved < gap:
                     continue
-                # Of squares: a2 + b2 - (a - m)2 - (b + m)2.
+                # Reduction of squares: a^2 + b^2 - (a - m)^2 - (b + m)^2.
                 gain = 2 * moved * (gap - moved)
                 if best is None or gain > best[0]:
                     best = (gain, first, second)
@@ -255,7 +255,7 @@
             yield _Step(gain, 2, first, experts[0], second, experts[1])
 
     def _movable(self, rank: int, to: int) -> list[tuple[int, float]]:
-        """Return slots whose expert the other rank lacks, with its load."""
+        """Return slots whose expert the other rank lacks, with their loads."""
         there = {self.slots[slot] for slot in self._held(to)}
         return [
             (slot, self._share(self.slots[slot]))
@@ -263,7 +263,7 @@
             if self.slots[slot] not in there
         ]
 
-    def _clash(self, rank: int, expert: int) -> bool:
+    def _holds(self, rank: int, expert: int) -> bool:
         return any(
             slot // self.per_rank == rank for slot in self.places[expert]
         )
@@ -277,12 +277,12 @@
     def _share_without(self, expert: int) -> float:
         return self.experts[expert] / (len(self.places[expert]) - 1)
 
-    def _lightest(self, victim: int, expert: int) -> list[int]:
-        """Return the victim's slots, least loaded ranks first."""
+    def _victim_slots(self, victim: int, expert: int) -> list[int]:
+        """Return up to two slots of the victim, least loaded ranks first."""
         fit = [
             slot
             for slot in self.places[victim]
-            if not self._clash(slot // self.per_rank, expert)
+            if not self._holds(slot // self.per_rank, expert)
         ]
         fit.sort(key=lambda slot: self.loads[slot // self.per_rank])
         return fit[:2]
@@ -295,7 +295,7 @@
         return step._replace(gain=gain)
 
     def _delta(self, step: _Step) -> dict[int, float]:
-        """Return the change of load by rank that a step makes."""
+        """Return the change of load by rank that a step causes."""
         delta: dict[int, float] = {}
 
         def add(slot: int, amount: float) -> None:
--- a/packages/reelscale-core/src/reelscale_core/rank.py
+++ b/packages/reelscale-core/src/reelscale_core/rank.py
@@ -1,8 +1,8 @@
-"""A rank of a group that its engine steps, as it reports itself.
+"""Reports of and orders to a rank whose engine changes layouts itself.
 
-Such an engine takes orders about expert layouts by itself: it prepares a
-layout, arms it for a step, and holds the group before a step until told to
-go on.  relayout decides which orders bring all ranks onto one layout.
+On orders, such an engine prepares a layout, arms it for a step, and holds the
+group before a step until released.  relayout decides which orders bring all
+ranks onto one layout.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -11,16 +11,16 @@
 import enum
 from typing import NamedTuple
 
-# The experts that each rank holds, by set of layers, then rank.
+# Experts by set of layers, then rank.
 Table = tuple[tuple[tuple[int, ...], ...], ...]
 
 
 class Armed(NamedTuple):
-    """A layout that a rank will take by itself.
+    """A layout that a rank will switch to at a step.
 
     Attributes:
-      version: The layout.
-      step: It is taken as this step begins.
+      version: Version of the layout.
+      step: The first step that uses it.
     """
 
     version: int
@@ -28,23 +28,23 @@
 
 
 class Rank(NamedTuple):
-    """What one rank reports.
+    """The report of one rank.
 
     Attributes:
       group: Name of its group.
-      epoch: Rises each time the group forms anew; all is forgotten then.
-      number: Its place in the group, from 0.
-      size: Ranks of the group.
-      open: Whether the group takes work.
-      step: The last step that it began.
-      version: Layout in use, 0 for the one that a group forms with.
-      requests: Those that it works on, and that wait there.
+      epoch: Increases each time the group forms anew, without earlier state.
+      number: Its index in the group, from 0.
+      size: Number of ranks of the group.
+      open: Whether the group accepts requests.
+      step: The latest step that it began.
+      version: Layout in use; 0 for the initial one.
+      requests: Requests that it runs and has queued.
       copying: Whether it is loading the weights of a layout.
-      prepared: Layout whose weights it has beside the one in use, if any.
-      armed: What it will take by itself, if anything.
+      prepared: Layout loaded beside the one in use, if any.
+      armed: The layout change that it is armed for, if any.
       held: Step before which it holds the group, if any.
-      born_ms: Unix time of its start in milliseconds, if it told; nothing
-        that it said before another start holds after it.
+      born_ms: Unix time of its start in milliseconds, if stated; a restarted
+        rank has lost all earlier state.
     """
 
     group: str
@@ -63,43 +63,43 @@
 
 
 class Fence(NamedTuple):
-    """Take no more orders of an earlier holder.
+    """Refuse further orders of earlier holders.
 
     Attributes:
-      version: A layout that nobody has armed.
+      version: A layout that no rank is armed for.
     """
 
     version: int
 
 
 class Prepare(NamedTuple):
-    """Load the weights of a layout; a rank takes each version once."""
+    """Load the weights of a layout; a rank accepts each version once."""
 
     version: int
     table: Table
 
 
 class Arm(NamedTuple):
-    """Take a prepared layout as a step begins."""
+    """Switch to a prepared layout when a step begins."""
 
     version: int
     step: int
 
 
 class Disarm(NamedTuple):
-    """Do not take a layout that was armed."""
+    """Cancel an armed layout."""
 
     version: int
 
 
 class Hold(NamedTuple):
-    """Keep the group from beginning a step."""
+    """Hold the group before a step."""
 
     step: int
 
 
 class Go(NamedTuple):
-    """End the hold of a step."""
+    """Release the hold before a step."""
 
     step: int
 
@@ -108,9 +108,9 @@
 
 
 class Outcome(enum.IntEnum):
-    """What became of an order.
+    """The outcome of an order.
 
-    An order without an answer may be carried out seconds later.
+    An unanswered order may still be carried out seconds later.
     """
 
     TAKEN = 0
--- a/packages/reelscale-core/src/reelscale_core/replicas.py
+++ b/packages/reelscale-core/src/reelscale_core/replicas.py
@@ -1,10 +1,10 @@
-"""Chooses which experts ranks hold beside those they have.
+"""Chooses replicas of experts for the ranks of a group.
 
 The tokens of an expert split evenly over the ranks that hold it, and a step
-lasts as long as its most loaded rank.  Starting from the layout in use, one
-replica at a time is added where it takes most from the most loaded rank,
-until a further one is not worth loading.  A rank that has no place left
-gives up an expert that others hold, too.
+takes as long as its most loaded rank.  Starting from the layout in use, a
+greedy search adds one replica at a time where it lowers the maximum load
+most, until the gain is too small.  A rank without a free place evicts an
+expert that other ranks hold as well.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -13,22 +13,22 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-# Experts of the most loaded rank, and ranks to put them on, that are looked
-# at for each replica; beyond the first few nothing better was found.
+# Experts of the most loaded rank, and ranks to place them on, that are tried
+# for each replica.
 EXPERTS_TRIED = 4
 RANKS_TRIED = 4
-# Stands for an expert where a rank has a place left and gives none up.
+# Returned instead of an expert where a rank has a free place.
 NO_EXPERT = -1
 
 
 class Bounds(NamedTuple):
-    """What an engine allows.
+    """The limits of an engine.
 
     Attributes:
-      places: Experts that a rank holds in a set at most.
-      spare: Experts of a set that a rank may load in one change.
-      loads: Experts of all sets that a rank may load in one change; None for
-        as many as it may.
+      places: Maximum experts of a set per rank.
+      spare: Maximum experts of a set that a rank may load in one change.
+      loads: Maximum experts of all sets that a rank may load in one change;
+        None for no limit but spare.
     """
 
     places: int
@@ -41,8 +41,8 @@
 
     Attributes:
       held: Experts by rank.
-      before: Largest over mean load of a rank in the layout in use.
-      after: The same in this one.
+      before: Skew (maximum over mean load of a rank) of the layout in use.
+      after: Skew of this layout.
       loaded: Experts that ranks have to load.
     """
 
@@ -53,7 +53,7 @@
 
 
 class _Set:
-    """One set of layers while it is worked on."""
+    """One set of layers while it is solved."""
 
     def __init__(
         self,
@@ -74,12 +74,12 @@
 
     @property
     def mean(self) -> float:
-        """The mean load of a rank; replicas do not change it."""
+        """The mean load of a rank, which replicas do not change."""
         return sum(self.loads) / len(self.loads)
 
     @property
     def skew(self) -> float:
-        """The largest over the mean load, 1 without any."""
+        """The maximum over the mean load; 1 without load."""
         return max(self.loads) / self.mean if self.mean > 0 else 1.0
 
     @property
@@ -95,13 +95,14 @@
         return loads
 
     def share(self, expert: int) -> float:
-        """Return what one of its ranks bears of an expert."""
+        """Return the load of an expert on each of its ranks."""
         return self.demand[expert] / len(self.owners[expert])
 
     def expert_to_evict(self, number: int, new: int) -> int | None:
-        """Return the expert, or NO_EXPERT, that a rank would give up.
+        """Return the expert that a rank would evict for a new one.
 
-        None if the rank has no place left and nothing that it may give up.
+        NO_EXPERT if it has a free place; None if it has neither a free place
+        nor an expert that it may evict.
         """
         row = self.held[number]
         if len(row) < self.bounds.places:
@@ -110,7 +111,7 @@
         return min(others, key=self.share, default=None)
 
     def with_replica(self, expert: int, to: int, out: int) -> dict[int, float]:
-        """Return the loads of the ranks that a new replica changes."""
+        """Return the new loads of the ranks that a replica affects."""
         owners = self.owners[expert]
         each = self.demand[expert] / (len(owners) + 1)
         less = self.share(expert) - each
@@ -125,7 +126,7 @@
         return loads
 
     def add(self, expert: int, to: int, out: int) -> None:
-        """Give a rank a replica of an expert, in place of another or not."""
+        """Place a replica of an expert on a rank, evicting out."""
         for number, load in self.with_replica(expert, to, out).items():
             self.loads[number] = load
         if out != NO_EXPERT:
@@ -136,14 +137,14 @@
         self.spare[to] -= 1
 
 
-class _Gain(NamedTuple):
-    """What the best replica of one set is worth.
+class _Candidate(NamedTuple):
+    """The best replica to add to one set.
 
     Attributes:
-      gain: By how much it lowers the largest load, in parts of the mean.
-      expert: What to load.
-      to: The rank that is to load it.
-      out: What that rank gives up, or NO_EXPERT.
+      gain: Reduction of the maximum load, as a fraction of the mean.
+      expert: The expert to load.
+      to: The rank that loads it.
+      out: The expert that the rank evicts, or NO_EXPERT.
     """
 
     gain: float
@@ -159,63 +160,64 @@
     *,
     min_gain: float,
 ) -> list[Solution]:
-    """Return a layout with more even loads for each set of layers.
+    """Return a better balanced layout for each set of layers.
 
-    A pass takes the largest load of each set, one after the other, so the
-    replicas that lower any of them most come first, until no rank may load
-    more.  Ranks load side by side, so few loads each make a short change.
+    The sets run one after the other in a pass, each as long as its most
+    loaded rank, so the replicas with the largest gain in any set come first,
+    until no rank may load more.
 
     Args:
       held: Experts in use, by set, then rank.
-      demand: Tokens of each expert, by set, forecast.
-      bounds: What the engine allows.
-      min_gain: A replica is loaded only if it lowers the largest load by
-        this part of the mean.
+      demand: Forecast tokens of each expert, by set.
+      bounds: Limits of the engine.
+      min_gain: Minimum gain of a replica, as a fraction of the mean load.
     """
     works = [
-        _Set(held=rows, demand=wanted, bounds=bounds)
-        for rows, wanted in zip(held, demand, strict=True)
+        _Set(held=rows, demand=tokens, bounds=bounds)
+        for rows, tokens in zip(held, demand, strict=True)
     ]
     loaded = [0] * len(works)
     befores = [work.skew for work in works]
-    left = _loads_left(held, bounds)
-    best = [_best(work, min_gain, left) for work in works]
+    remaining = _remaining_loads(held, bounds)
+    best = [_best(work, min_gain, remaining) for work in works]
     while any(best):
         number = max(
-            (n for n, found in enumerate(best) if found),
+            (n for n, candidate in enumerate(best) if candidate),
             key=lambda n: best[n].gain,
         )
-        found = best[number]
-        works[number].add(found.expert, found.to, found.out)
+        candidate = best[number]
+        works[number].add(candidate.expert, candidate.to, candidate.out)
         loaded[number] += 1
-        left[found.to] -= 1
-        # Only what that set holds has changed, and what that rank may load.
+        remaining[candidate.to] -= 1
+        # Other sets change only where that rank may load no more.
         for other, work in enumerate(works):
-            spent = best[other] and left[best[other].to] <= 0
+            spent = best[other] and remaining[best[other].to] <= 0
             if other == number or spent:
-                best[other] = _best(work, min_gain, left)
+                best[other] = _best(work, min_gain, remaining)
     return [
         Solution(work.rows, before, work.skew, count)
         for work, before, count in zip(works, befores, loaded, strict=True)
     ]
 
 
-def _loads_left(
+def _remaining_loads(
     held: Sequence[Sequence[Sequence[int]]], bounds: Bounds
 ) -> list[int]:
     """Return how many experts each rank may load."""
-    most = bounds.spare * len(held)
-    each = most if bounds.loads is None else min(most, bounds.loads)
+    limit = bounds.spare * len(held)
+    each = limit if bounds.loads is None else min(limit, bounds.loads)
     return [each] * max((len(rows) for rows in held), default=0)
 
 
-def _best(work: _Set, min_gain: float, left: Sequence[int]) -> _Gain | None:
-    """Return the replica that lowers the largest load most, if any does.
+def _best(
+    work: _Set, min_gain: float, remaining: Sequence[int]
+) -> _Candidate | None:
+    """Return the replica that lowers the maximum load most, if any.
 
     Args:
       work: The set of layers.
-      min_gain: The least that it must lower it by, in parts of the mean.
-      left: How many experts each rank may still load.
+      min_gain: Minimum gain, as a fraction of the mean load.
+      remaining: How many experts each rank may still load.
     """
     mean = work.mean
     if mean <= 0:
@@ -223,7 +225,7 @@
     order = sorted(range(len(work.loads)), key=work.loads.__getitem__)
     top = order[-1]
     hot = sorted(work.held[top], key=work.share, reverse=True)
-    free = [n for n in order if work.spare[n] > 0 and left[n] > 0]
+    free = [n for n in order if work.spare[n] > 0 and remaining[n] > 0]
     best = None
     for expert in hot[:EXPERTS_TRIED]:
         fit = [n for n in free if n not in work.owners[expert]]
@@ -234,5 +236,5 @@
             changed = work.with_replica(expert, to, out)
             gain = (work.loads[top] - max(changed.values())) / mean
             if gain >= min_gain and (best is None or gain > best.gain):
-                best = _Gain(gain, expert, to, out)
+                best = _Candidate(gain, expert, to, out)
     return best
--- a/packages/reelscale-core/src/reelscale_core/starts.py
+++ b/packages/reelscale-core/src/reelscale_core/starts.py
@@ -1,10 +1,9 @@
-"""Tells which start of an upstream counts where records come out of order.
+"""Decides which start of an upstream is current.
 
-A record of an earlier start may arrive after one of a later start: a write
-may be done seconds after it was sent.  By its time of birth it is told from
-a later one.  But a clock may have stepped back between two starts, and then
-the later start has the earlier time.  Who lives goes on writing, so a start
-with an earlier time of birth counts once the other has written no more.
+Records may arrive out of order, so starts are ordered by start time.  A clock
+may have stepped back between two starts, and then the later start has the
+earlier time.  A running start renews its record, so a start with an earlier
+time becomes current once the other has stopped writing.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -17,20 +16,18 @@
 
 from .announcement import Announcement, Item
 
-# A start that lives and is contradicted writes again within a heartbeat, 1.2
-# s; three of them without a word end a start, here as for the platform.
+# Three heartbeats of 1.2 s, after which the platform also removes a start.
 CONTENTION_S = 4.0
-# So many upstreams are remembered, far above those of one platform, however
-# many ids another writer makes up.
+# Bounds memory if a writer invents ids; far above the size of a platform.
 MAX_UPSTREAMS = 4096
 
 
 class _Contender(NamedTuple):
-    """A record by a start that seems to be earlier than the one that counts.
+    """A record by a start with an earlier time than the current one.
 
     Attributes:
       item: The record.
-      since: Monotonic seconds at which the first of that start came.
+      since: Monotonic seconds at which that start was first received.
     """
 
     item: Announcement
@@ -38,33 +35,33 @@
 
 
 class Verdict(enum.Enum):
-    """What a record by an upstream is worth."""
+    """Whether a record is by the current start of its upstream."""
 
     CURRENT = enum.auto()
-    # An earlier start seems to have written it.
+    # The start time is earlier than that of the current start.
     SUPERSEDED = enum.auto()
-    # It does not tell its start, though upstreams here do.
+    # It has no start time, though other records here have one.
     UNDATED = enum.auto()
 
 
 class Starts:
-    """The start of each upstream that counts."""
+    """The current start of each upstream."""
 
     def __init__(self) -> None:
-        self._born_by_name: collections.OrderedDict[str, int] = (
+        self._started_ms_by_name: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
         self._any_dated = False
         self._contenders_by_name: dict[str, _Contender] = {}
 
     def record_listed(self, items: Iterable[Item]) -> None:
-        """Note, before any of them is taken, whether upstreams tell starts."""
+        """Record whether upstreams here state their start times."""
         entries = [i for i in items if isinstance(i, Announcement)]
-        told = any(item.born_ms is not None for item in entries)
-        self._any_dated = self._any_dated or told
+        dated = any(item.born_ms is not None for item in entries)
+        self._any_dated = self._any_dated or dated
 
     def classify(self, item: Announcement, now: float) -> Verdict:
-        """Take a record; tell what it is worth.
+        """Process a record and return whether its start is current.
 
         Args:
           item: The record.
@@ -73,48 +70,48 @@
         born_ms = item.born_ms
         if born_ms is None:
             return Verdict.UNDATED if self._any_dated else Verdict.CURRENT
-        known = self._born_by_name.get(item.name)
-        if known is not None and born_ms < known:
-            self._contend(item, now)
+        current_ms = self._started_ms_by_name.get(item.name)
+        if current_ms is not None and born_ms < current_ms:
+            self._record_contender(item, now)
             return Verdict.SUPERSEDED
-        self._count(item.name, born_ms)
+        self._make_current(item.name, born_ms)
         return Verdict.CURRENT
 
     def promote_due(self, now: float) -> list[Announcement]:
-        """Return the records by starts that count from now on after all."""
-        won = [
-            row.item
-            for row in self._contenders_by_name.values()
-            if now - row.since >= CONTENTION_S
+        """Return the records by starts that have become current by now."""
+        promoted = [
+            contender.item
+            for contender in self._contenders_by_name.values()
+            if now - contender.since >= CONTENTION_S
         ]
-        for item in won:
-            self._count(item.name, item.born_ms)
-        return won
+        for item in promoted:
+            self._make_current(item.name, item.born_ms)
+        return promoted
 
     def forget(self, name: str) -> None:
-        """Note that an upstream has no record any more."""
+        """Drop the contender of an upstream whose record was removed."""
         self._contenders_by_name.pop(name, None)
 
     def retain(self, names: set[str]) -> None:
-        """Note that only these upstreams have records."""
+        """Drop the contenders of all upstreams but these."""
         for name in set(self._contenders_by_name) - names:
             self.forget(name)
 
-    def _contend(self, item: Announcement, now: float) -> None:
+    def _record_contender(self, item: Announcement, now: float) -> None:
         old = self._contenders_by_name.get(item.name)
         same = old is not None and old.item.born_ms == item.born_ms
         since = old.since if same else now
         self._contenders_by_name[item.name] = _Contender(item, since)
 
-    def _count(self, name: str, born_ms: int) -> None:
-        """Have a start count; the upstream is the newest that was heard."""
+    def _make_current(self, name: str, born_ms: int) -> None:
+        """Make a start current, and its upstream the most recent."""
         self._contenders_by_name.pop(name, None)
-        self._born_by_name[name] = born_ms
-        self._born_by_name.move_to_end(name)
-        while len(self._born_by_name) > MAX_UPSTREAMS:
-            self._born_by_name.popitem(last=False)
+        self._started_ms_by_name[name] = born_ms
+        self._started_ms_by_name.move_to_end(name)
+        while len(self._started_ms_by_name) > MAX_UPSTREAMS:
+            self._started_ms_by_name.popitem(last=False)
 
 
-def are_distinct(one: int | None, another: int | None) -> bool:
-    """Tell whether two times of birth are known to be of two starts."""
-    return None not in (one, another) and one != another
+def are_distinct(first: int | None, second: int | None) -> bool:
+    """Return whether two start times are current_ms and differ."""
+    return None not in (first, second) and first != second
--- a/packages/reelscale-core/src/reelscale_core/state.py
+++ b/packages/reelscale-core/src/reelscale_core/state.py
@@ -1,4 +1,4 @@
-"""The folded configuration and its form for peers and snapshots."""
+"""The folded configuration and its serialization for peers and snapshots."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -14,13 +14,13 @@
 
 
 class Verdict(NamedTuple):
-    """What the fold decided on a confirmed plan.
+    """The decision of the fold on a confirmed plan.
 
     Attributes:
-      accepted: Whether the plan is in the configuration.
-      offset: Offset of the confirmation that was judged.
+      accepted: Whether the plan was applied.
+      offset: Offset of the confirmation.
       code: Empty, "conflict", "unknown-plan" or "refused".
-      detail: For people; names the winner of a conflict.
+      detail: Explanation for operators; names the winner of a conflict.
     """
 
     accepted: bool
@@ -30,10 +30,10 @@
 
 
 class Membership(NamedTuple):
-    """The upstreams of a target from an offset on.
+    """The upstreams that serve a target from an offset on.
 
     Attributes:
-      offset: Offset of the record that made it so.
+      offset: Offset of the record that changed them.
       members: Names of the upstreams, sorted.
     """
 
@@ -45,9 +45,9 @@
     """The newest accepted claim of a name.
 
     Attributes:
-      holder: Who holds it.
+      holder: Name and incarnation of the holder.
       offset: Offset of the claim; the fence of its holder's orders.
-      ttl_ms: How long it holds from when it was asked for.
+      ttl_ms: Validity, from when the claim was requested.
       id: Id of the claim.
     """
 
@@ -59,32 +59,31 @@
 
 EMPTY = immutables.Map()
 
-# Objects that are turned at a time.
-SLICE = 200
+# Rows that are encoded at a time.
+SLICE_ROWS = 200
 
 Result = TypeVar("Result")
-# Work that yields now and then, so that a loop can do other things between.
+# Work in slices: a generator that yields to the event loop between them.
 Slices = Generator[None, None, Result]
 
 
 class State(NamedTuple):
-    """Everything that the log says, folded up to an offset.
+    """The configuration, folded from the log up to an offset.
 
     Attributes:
-      offset: Offset of the last record folded, -1 before the first.
+      offset: Offset of the last folded record; -1 before the first.
       workspaces_by_name: Workspaces.
       services_by_name: Plain services.
       groups_by_name: Groups of ranks.
       upstreams_by_name: Upstreams.
-      changed_by_key: Offset of the last change, by "kind/name".
-      plans_by_id: Plans that may still be confirmed, with their offset.
+      changed_by_key: Offset of the last change by "kind/name".
+      plans_by_id: Unconfirmed plans with their offset.
       verdicts_by_id: Verdicts by plan id.
       leases_by_name: Newest accepted claim by name.
       members_by_target: Memberships of each target, oldest first.
       routes_by_name: Routes by host and path.
-      version: Number that the operators gave the configuration, where
-        they state it whole.
-      limits: What callers may send.
+      version: Version of the last full configuration, 0 without one.
+      limits: Limits of requests.
     """
 
     offset: int = -1
@@ -103,25 +102,27 @@
 
 
 def dump(state: State) -> str:
-    """Return a state as canonical text, a JSON object a line."""
+    """Serialize a state as canonical text, one JSON object per line."""
     return run(dump_slices(state))
 
 
 def dump_slices(state: State) -> Slices[str]:
-    """Dump a state a little at a time; see Slices.
+    """Serialize a state in slices.
 
-    The first line holds the offset; each other the name of a field and
-    some of its rows, in the order of their keys.
+    The first line holds the offset; each of the others the name of a field
+    and some of its rows, in the order of their keys.
     """
-    first = {"offset": state.offset, "version": state.version}
-    first["limits"] = state.limits._asdict()
-    lines = [orjson.dumps(first)]
-    for field, (turn, _) in _CODECS.items():
+    head = {"offset": state.offset, "version": state.version}
+    head["limits"] = state.limits._asdict()
+    lines = [orjson.dumps(head)]
+    for field, (encode, _) in _CODECS.items():
         rows = getattr(state, field)
         keys = sorted(rows)
         yield
-        for at in range(0, len(keys), SLICE):
-            part = {key: turn(rows[key]) for key in keys[at : at + SLICE]}
+        for at in range(0, len(keys), SLICE_ROWS):
+            part = {
+                key: encode(rows[key]) for key in keys[at : at + SLICE_ROWS]
+            }
             line = {"of": field, "rows": part}
             lines.append(orjson.dumps(line, default=tuple))
             yield
@@ -129,23 +130,23 @@
 
 
 def load(text: str) -> State:
-    """Build a state from the text of dump.
+    """Deserialize a state from the text of dump.
 
     Raises:
-      ValueError, KeyError, TypeError: The text is not of dump.
+      ValueError, KeyError, TypeError: The text is not valid.
     """
     return run(load_slices(text))
 
 
 def load_slices(text: str) -> Slices[State]:
-    """Load a state a little at a time; see Slices."""
-    first, *lines = text.split("\n")
-    state = _head(orjson.loads(first))
+    """Deserialize a state in slices."""
+    head, *lines = text.split("\n")
+    state = _head(orjson.loads(head))
     for line in lines:
         data = orjson.loads(line)
         field = data["of"]
-        _, build = _CODECS[field]
-        rows = {key: build(row) for key, row in data["rows"].items()}
+        _, decode = _CODECS[field]
+        rows = {key: decode(row) for key, row in data["rows"].items()}
         table = getattr(state, field).update(rows)
         state = state._replace(**{field: table})
         yield
@@ -153,14 +154,14 @@
 
 
 def _head(data: dict[str, Any]) -> State:
-    """Build a state without its tables from the first line of a dump."""
+    """Build a state without tables from the first line of a dump."""
     limits = route.Limits(**data.get("limits", {}))
     version = data.get("version", 0)
     return State(offset=data["offset"], version=version, limits=limits)
 
 
 def run(slices: Slices[Result]) -> Result:
-    """Run slices to their end at once."""
+    """Run slices to completion and return the result."""
     while True:
         try:
             next(slices)
@@ -169,17 +170,17 @@
 
 
 def digest(text: str) -> str:
-    """Return the digest by which two dumps are compared."""
+    """Return the digest of a dump."""
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
 
 def members(state: State, target: str) -> tuple[str, ...]:
-    """Return the upstreams that serve a target now, sorted."""
+    """Return the upstreams that serve a target, sorted."""
     rows = state.members_by_target.get(target, ())
     return rows[-1].members if rows else ()
 
 
-def _same(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
 
 
@@ -195,16 +196,16 @@
     return tuple(Membership(row[0], tuple(row[1])) for row in rows)
 
 
-# How the rows of each field are turned into JSON data and built from it.
+# How the rows of each field are encoded as JSON data and decoded from it.
 _CODECS: dict[str, tuple[Callable[[Any], Any], Callable[[Any], Any]]] = {
     "workspaces_by_name": (model.to_json, model.workspace),
     "services_by_name": (model.to_json, model.service),
     "groups_by_name": (model.to_json, model.group),
     "upstreams_by_name": (model.to_json, model.upstream),
-    "changed_by_key": (_same, _same),
+    "changed_by_key": (_identity, _identity),
     "plans_by_id": (_plan_to_json, _plan),
-    "verdicts_by_id": (_same, lambda row: Verdict(*row)),
-    "leases_by_name": (_same, lambda row: Lease(*row)),
-    "members_by_target": (_same, _memberships),
+    "verdicts_by_id": (_identity, lambda row: Verdict(*row)),
+    "leases_by_name": (_identity, lambda row: Lease(*row)),
+    "members_by_target": (_identity, _memberships),
     "routes_by_name": (route.to_json, route.from_json),
 }
