--- a/features/models/rate_limits.py
+++ b/features/models/rate_limits.py
@@ -44,7 +44,7 @@
             reactor=task.Clock(),
             clock=self.world.clock,
             entries=self._entries,
-            on_news=lambda: None,
+            on_update=lambda: None,
             on_free=lambda: None,
         )
 
@@ -69,7 +69,7 @@
     def hear(self, told: ttypes.Usage) -> None:
         """Take another's datagram."""
         self.heard_at[told.name] = self.world.clock.now
-        self.limits.take(told)
+        self.limits.apply(told)
 
     def send(self) -> bool:
         """Send a request if that is allowed; the answer tells the limit."""
@@ -135,7 +135,7 @@
             stated = base.NoRateLimit()
             if limit is not None:
                 stated = base.RequestsPerSecond(limit)
-            entry.limits.heard(START, stated)
+            entry.limits.record_limit(START, stated)
             named = limit is not None and limit == self.limit
             if named and entry.counts_from is None:
                 entry.counts_from = now + HEEDED_S
--- a/features/models/restarts.py
+++ b/features/models/restarts.py
@@ -198,7 +198,7 @@
         if asked is None:
             return
         load = announcement.Load(choose.pick((1, 4)), start.number % 7, 6)
-        self.directory.note_load(start.key, load)
+        self.directory.record_load(start.key, load)
         self.parts.record_success(start.name, view=asked.view)
         start.loads.append(load)
         start.failures = 0
@@ -216,7 +216,7 @@
         asked, start = self._end(choose)
         if asked is None:
             return
-        self.directory.note_refused(start.key)
+        self.directory.record_refused(start.key)
         start.refused = True
         self._release(asked, start)
 
--- a/features/models/shedding.py
+++ b/features/models/shedding.py
@@ -239,7 +239,7 @@
     def ignore(self, *_: Any, **__: Any) -> None:
         """Take what happens to a request."""
 
-    begin = end = ended_well = note_lost = ignore
+    begin = end = record_success = record_lost = ignore
 
 
 SHEDDING = ("shed", "shed", "recover", "relist", "restart")
--- a/features/models/suspects.py
+++ b/features/models/suspects.py
@@ -104,7 +104,7 @@
             reactor=None,
             clock=world.clock,
             evidence=None,
-            on_news=lambda: None,
+            on_update=lambda: None,
         )
 
     def tell(self) -> ttypes.Usage:
@@ -161,7 +161,7 @@
         for sender, message in told:
             for other in self.entries:
                 if other is not sender and self.random.random() < 0.9:
-                    other.suspects.take(message)
+                    other.suspects.apply(message)
 
     def _send(self, caller: Caller) -> None:
         entry = self.random.choice(self.entries)
@@ -215,7 +215,7 @@
                 self._crash(item.at)
             elif item.left <= 0:
                 item.caller.done = True
-                item.entry.suspects.ended_well(item.asked)
+                item.entry.suspects.record_success(item.asked)
                 self._end(item)
 
     def _crash(self, upstream: Upstream) -> None:
--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -203,7 +203,7 @@
 @when("it asks for {seconds:g} s at {at:g} s")
 def _(context, seconds, at):
     context.clock.advance(at - context.clock.now)
-    context.backoffs.heard(context.start, seconds)
+    context.backoffs.record_backoff(context.start, seconds)
 
 
 @when("the list tells at {at:g} s that it was born again at {born:g} s")
@@ -213,7 +213,7 @@
         context.start,
         announcement.Start("w1", int(born * 1000)),
     )
-    context.backoffs.start_again(before, context.start)
+    context.backoffs.on_restart(before, context.start)
 
 
 @then("it wants nothing for {seconds:g} s more")
--- a/features/steps/entry_groups_steps.py
+++ b/features/steps/entry_groups_steps.py
@@ -58,7 +58,7 @@
 def _open_groups(context):
     """Return the groups whose ranks a request may be sent to."""
     rows = context.listing.directory.candidates(TARGET)
-    rows = context.outages.open(context.asked, rows)
+    rows = context.outages.filter_open(context.asked, rows)
     return {row.group for row in rows if row.local_in_flight < row.slots}
 
 
@@ -66,7 +66,7 @@
 def _(context, count, which):
     for number in range(count):
         name = f"{GROUPS[which]}-r{number}"
-        context.outages.note_refused(context.asked, name)
+        context.outages.record_refused(context.asked, name)
 
 
 @then("requests go to the second group alone")
@@ -95,12 +95,12 @@
 @then("one request may try the first group")
 def _(context):
     assert _open_groups(context) == {"g0", "g1"}, _open_groups(context)
-    context.outages.note_chosen(context.asked, "g0-r3")
+    context.outages.record_chosen(context.asked, "g0-r3")
 
 
 @when("the first group answers")
 def _(context):
-    context.outages.note_progress(context.asked, "g0-r3")
+    context.outages.record_progress(context.asked, "g0-r3")
 
 
 @then("requests may go to both groups")
@@ -117,7 +117,7 @@
             name = f"{group}-r0"
             context.asked.choice = types.SimpleNamespace(name=name)
             seen_s = pause if group == "g0" else 0.05
-            context.listing.directory.note_pause(context.asked, seen_s)
+            context.listing.directory.record_pause(context.asked, seen_s)
 
 
 def _use_slots(context, each):
--- a/features/steps/gone_agent_steps.py
+++ b/features/steps/gone_agent_steps.py
@@ -96,13 +96,13 @@
         self.waking = defer.Deferred()
         self.membership = self
 
-    def use(self, target):
+    def record_demand(self, target):
         """Note nothing."""
 
     def reachable(self, target):
         return self.granted
 
-    async def wake(self, target):
+    async def refresh(self, target):
         await self.waking
 
     def queue(self, target):
--- a/features/steps/loops_steps.py
+++ b/features/steps/loops_steps.py
@@ -175,7 +175,7 @@
         offset=lambda: 0,
         roster_offset=lambda: 0,
     )
-    made._loop.start(usage.TOLD_EVERY_S)
+    made._loop.start(usage.SEND_INTERVAL_S)
     return made.progress
 
 
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -118,11 +118,11 @@
 def _(context):
     world = model.World(seed=3, count=2)
     context.first, context.second = world.entries
-    context.first.limits.heard(model.START, base.RequestsPerSecond(0.0))
+    context.first.limits.record_limit(model.START, base.RequestsPerSecond(0.0))
     context.late = context.first.tell()
     context.second.hear(context.late)
     world.clock.advance(0.2)
-    context.second.limits.heard(model.START, base.NoRateLimit())
+    context.second.limits.record_limit(model.START, base.NoRateLimit())
 
 
 @when("the older news arrives after the newer")
@@ -147,11 +147,11 @@
         reactor=context.reactor,
         clock=context.clock,
         entries=lambda: only,
-        on_news=lambda: None,
+        on_update=lambda: None,
         on_free=lambda: context.woken.append(context.reactor.seconds()),
     )
     for start, per_s in (("i-1", 0.0), ("i-2", 4.0)):
-        made.heard(start, base.RequestsPerSecond(per_s))
+        made.record_limit(start, base.RequestsPerSecond(per_s))
         made.sent(start)
         assert made.blocks(start), start
 
--- a/features/steps/suspects_steps.py
+++ b/features/steps/suspects_steps.py
@@ -29,7 +29,7 @@
         "_is_convicted",
         lambda record, *, only: len(record.crashed) >= 2,
     ),
-    "telling others": (suspects.Suspects, "take", _take_nothing),
+    "telling others": (suspects.Suspects, "apply", _take_nothing),
     "convicting": (suspicion, "_is_convicted", lambda record, *, only: False),
 }
 
@@ -129,24 +129,26 @@
             reactor=reactor,
             upstreams=types.SimpleNamespace(
                 listed=lambda _: first not in ("is leaving", "is not listed"),
-                started_again=lambda _: first == "has started again",
+                restarted=lambda _: first == "has started again",
+            ),
+            open_connections=lambda _: int(
+                first == "has other connections to us open"
             ),
-            open_to=lambda _: int(first == "has other connections to us open"),
         ),
-        on_news=lambda: None,
+        on_update=lambda: None,
     )
     context.asked = model.Caller(1, guilty=False).call()
     place = Place(OUTCOMES.get(outcome, error.ConnectionRefusedError()))
     with mock.patch.object(
         crash_evidence.endpoints, "TCP4ClientEndpoint", lambda *_, **__: place
     ):
-        context.suspects.note_lost(context.asked, upstream, running=3)
-        reactor.advance(suspects.LOOK_AFTER_S)
+        context.suspects.record_lost(context.asked, upstream, running=3)
+        reactor.advance(suspects.CRASH_CHECK_DELAY_S)
 
 
 @then("its requests are {verdict}")
 def _(context, verdict):
-    found = context.suspects.record(context.asked)
+    found = context.suspects.lookup(context.asked)
     assert (found is not None) == (verdict == "suspected"), found
 
 
@@ -157,7 +159,7 @@
         reactor=None,
         clock=context.clock,
         evidence=None,
-        on_news=lambda: None,
+        on_update=lambda: None,
     )
     context.asked = model.Caller(1, guilty=True).call()
 
@@ -172,7 +174,7 @@
 def _(context):
     _controller(context)
     _crash_alone(context, 0)
-    context.suspects.ended_well(context.asked)
+    context.suspects.record_success(context.asked)
     for number in range(1, 4):
         _crash_alone(context, number)
 
@@ -180,7 +182,7 @@
 @then("it may go anywhere")
 def _(context):
     assert context.suspects.convicted_s(context.asked) == 0
-    assert not context.suspects.record(context.asked).isolated
+    assert not context.suspects.lookup(context.asked).isolated
 
 
 @when("a request is convicted")
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -75,7 +75,7 @@
 def _load(clocks):
     view = _view(clocks)
     load = announcement.Load(6, 3, 6)
-    view.note_load(load, clocks.monotonic(), remote_in_flight=0)
+    view.record_load(load, clocks.monotonic(), remote_in_flight=0)
     return lambda: (
         view.candidate(
             clocks.monotonic(), remote_in_flight=0, waiting=0
@@ -102,7 +102,7 @@
         on_over=lambda: None,
     )
     start = announcement.Start("u", None)
-    made.heard(start, 3.0)
+    made.record_backoff(start, 3.0)
     return lambda: made.blocks(start)
 
 
@@ -127,7 +127,7 @@
         reactor=None,
         clock=clocks,
         evidence=None,
-        on_news=lambda: None,
+        on_update=lambda: None,
     )
     asked = suspects_model.Caller(1, guilty=True).call()
     for number in range(2):
--- a/packages/reelscale-daemon/src/reelscale_daemon/agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/agent.py
@@ -144,7 +144,7 @@
     def heartbeat(self, beat: ttypes.Heartbeat) -> ttypes.Pulse:
         """Grant slots to an entry and tell it how things are here."""
         base = self._base
-        base.config.hear(beat.peer, beat.offset)
+        base.config.record_peer_offset(beat.peer, beat.offset)
         now = base.clock.monotonic()
         name = base.settings.name
         if name in beat.wanted:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
@@ -46,7 +46,9 @@
         )
         self._backoffs_by_start: dict[str, backoff.Backoff] = {}
 
-    def heard(self, start: announcement.Start, seconds: float) -> None:
+    def record_backoff(
+        self, start: announcement.Start, seconds: float
+    ) -> None:
         """Take what a refusal of an upstream asks."""
         now = self._clock.monotonic()
         old = self._backoffs_by_start.get(start.key)
@@ -62,7 +64,7 @@
         )
         self._forget(now)
 
-    def start_again(
+    def on_restart(
         self, before: announcement.Start, start: announcement.Start
     ) -> None:
         """Forget a start in whose place another is, but for what is its."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
@@ -209,7 +209,7 @@
             self._waiters.remove(row)
         return find()
 
-    def hear(self, peer: str, offset: int) -> None:
+    def record_peer_offset(self, peer: str, offset: int) -> None:
         """Note a peer's offset; pull its state if the log does not lead."""
         if offset <= self.state.offset:
             return
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/crash_evidence.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/crash_evidence.py
@@ -27,7 +27,7 @@
         """Tell whether a start is still listed and not leaving."""
         ...
 
-    def started_again(self, start: announcement.Start) -> bool:
+    def restarted(self, start: announcement.Start) -> bool:
         """Tell whether another start has taken its place."""
         ...
 
@@ -40,22 +40,22 @@
         *,
         reactor: Any,
         upstreams: Upstreams,
-        open_to: Callable[[str], int],
+        open_connections: Callable[[str], int],
     ) -> None:
         """Make it.
 
         Args:
           reactor: The loop.
           upstreams: Knows which starts are listed.
-          open_to: Gives the connections that are open to an address.
+          open_connections: Gives the connections that are open to an address.
         """
         self._reactor = reactor
         self._upstreams = upstreams
-        self._open_to = open_to
+        self._open_to = open_connections
 
     async def has_crashed(self, upstream: announcement.Announcement) -> bool:
         """Tell whether a start has crashed, by what can be seen now."""
-        if self._upstreams.started_again(upstream.start):
+        if self._upstreams.restarted(upstream.start):
             return True
         if not self._upstreams.listed(upstream.start):
             return False
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
@@ -39,7 +39,7 @@
             collections.OrderedDict()
         )
 
-    def heard(self, start: announcement.Start) -> None:
+    def record_leaving(self, start: announcement.Start) -> None:
         """Take that an answer says that its upstream leaves."""
         if start.key in self._heard_at_by_start:
             return
@@ -51,7 +51,7 @@
         """Tell whether a start has said that it leaves."""
         return start.key in self._heard_at_by_start
 
-    def start_again(
+    def on_restart(
         self, before: announcement.Start, start: announcement.Start
     ) -> None:
         """Forget a start in whose place another is, but for what is its."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
@@ -203,7 +203,7 @@
         if self._has_news:
             self._news_offset, self._has_news = self._next, False
         self.ready = True
-        self.tell_change()
+        self.notify_change()
 
     def _take_whole(self, page: base.RosterPage) -> None:
         """Withdraw what a whole list no longer names."""
@@ -269,8 +269,8 @@
             LOG.info("An upstream is listed.", **item._asdict())
         elif starts.are_distinct(view.upstream.born_ms, item.born_ms):
             self._connections.close_idle(view.upstream.address)
-            self.backoffs.start_again(view.upstream.start, item.start)
-            self.departures.start_again(view.upstream.start, item.start)
+            self.backoffs.on_restart(view.upstream.start, item.start)
+            self.departures.on_restart(view.upstream.start, item.start)
             LOG.info(
                 "An upstream has started again; nothing of before holds.",
                 born_before_ms=view.upstream.born_ms,
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/granted_view.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/granted_view.py
@@ -34,7 +34,7 @@
       asked_at: Monotonic seconds of the last heartbeat sent.
       beating: The heartbeat in progress, if any.
       tie_breaker: Settles ties between upstreams, for this entry alone.
-      heat: Recent tokens of each expert, as last asked for.
+      expert_load: Recent tokens of each expert, as last asked for.
     """
 
     upstream: model.Upstream
@@ -47,7 +47,7 @@
     asked_at: float = NEVER
     beating: defer.Deferred | None = None
     tie_breaker: int = 0
-    heat: Sequence[int] = ()
+    expert_load: Sequence[int] = ()
 
     def due(self, now: float) -> bool:
         """Tell whether it is time for a heartbeat."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/intents.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/intents.py
@@ -92,7 +92,7 @@
         groups = plan.groups_to_rebalance(self._config.state, intent)
         if not groups:
             return {}
-        await self._membership.wake(heat=True)
+        await self._membership.refresh(request_expert_load=True)
         loads = self.loads_by_group()
         found = {}
         for group in groups:
@@ -110,15 +110,15 @@
             target = view.upstream.target
             if target not in groups:
                 continue
-            heat = view.heat
-            sums = total.setdefault(target, [0.0] * len(heat))
-            if len(heat) == len(sums):
+            expert_load = view.expert_load
+            sums = total.setdefault(target, [0.0] * len(expert_load))
+            if len(expert_load) == len(sums):
                 total[target] = [
-                    a + b for a, b in zip(sums, heat, strict=True)
+                    a + b for a, b in zip(sums, expert_load, strict=True)
                 ]
         return {
-            name: _layers(heat, groups[name].experts)
-            for name, heat in total.items()
+            name: _layers(expert_load, groups[name].experts)
+            for name, expert_load in total.items()
         }
 
     async def _append(
@@ -157,7 +157,8 @@
             )
 
 
-def _layers(heat: Sequence[float], experts: int) -> list[list[float]]:
+def _layers(expert_load: Sequence[float], experts: int) -> list[list[float]]:
     return [
-        list(heat[at : at + experts]) for at in range(0, len(heat), experts)
+        list(expert_load[at : at + experts])
+        for at in range(0, len(expert_load), experts)
     ]
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
@@ -110,7 +110,7 @@
             for item in self.candidates(target)
         )
 
-    def away(self, name: str) -> bool:
+    def unavailable(self, name: str) -> bool:
         """Tell whether an upstream is known to take nothing new now."""
         view = self.views_by_name.get(name)
         if view is None or view.pulse is None:
@@ -119,13 +119,13 @@
         lapsed = self._clock.monotonic() >= view.heard_at + lapse_s
         return lapsed or view.pulse.leaving
 
-    def note_leaving(self, name: str) -> None:
+    def record_leaving(self, name: str) -> None:
         """Send an upstream nothing more: its agent refused as leaving."""
         view = self.views_by_name.get(name)
         if view is not None and view.pulse is not None:
             view.pulse.leaving = True
 
-    def note_unreachable(self, name: str) -> None:
+    def record_unreachable(self, name: str) -> None:
         """Send an upstream nothing until it answers a heartbeat again.
 
         Its grant has not lapsed yet, but no connection to its agent could
@@ -178,7 +178,7 @@
         """Return the one name, for the same reason."""
         return {""}
 
-    def turn_s(self, target: str, *, ahead: int) -> float:
+    def dispatch_wait_s(self, target: str, *, ahead: int) -> float:
         """Return 0: agents grant slots, and no upstream names a limit."""
         return 0.0
 
@@ -186,11 +186,11 @@
         """Return none, for the same reason."""
         return []
 
-    def note_sent(self, view: granted_view.View) -> None:
+    def record_sent(self, view: granted_view.View) -> None:
         """Nothing to do, for the same reason."""
 
-    async def wake(
-        self, target: str | None = None, *, heat: bool = False
+    async def refresh(
+        self, target: str | None = None, *, request_expert_load: bool = False
     ) -> None:
         """Ask the upstreams of a target, or all, for fresh grants.
 
@@ -198,7 +198,7 @@
 
         Args:
           target: Whose upstreams; all if None.
-          heat: Whether to ask for the heat of their experts as well.
+          request_expert_load: Whether to request expert loads as well.
         """
         now = self._clock.monotonic()
         views = [
@@ -209,12 +209,12 @@
         for view in views:
             if target is not None:
                 view.used_at = now
-            self._beat_once(view, heat=heat)
+            self._beat_once(view, request_expert_load=request_expert_load)
         await defer.DeferredList(
             [_fork(view.beating) for view in views if view.beating]
         )
 
-    def use(self, target: str) -> None:
+    def record_demand(self, target: str) -> None:
         """Note that a request wants a target, to keep its grants fresh."""
         now = self._clock.monotonic()
         for view in self.views_by_name.values():
@@ -233,19 +233,23 @@
             defer.ensureDeferred(self._beat_entry(self._entries[name]))
 
     def _beat_once(
-        self, view: granted_view.View, *, heat: bool = False
+        self, view: granted_view.View, *, request_expert_load: bool = False
     ) -> None:
         if view.beating is None:
             view.asked_at = self._clock.monotonic()
-            view.beating = defer.ensureDeferred(self._beat(view, heat))
+            view.beating = defer.ensureDeferred(
+                self._beat(view, request_expert_load)
+            )
 
-    async def _beat(self, view: granted_view.View, heat: bool) -> None:
+    async def _beat(
+        self, view: granted_view.View, request_expert_load: bool
+    ) -> None:
         """Exchange a heartbeat with one agent."""
         asked_at = self._clock.monotonic()
         own = view.local_in_flight
         waiting = self.waiting_by_target.get(view.upstream.target, 0)
         beat = self._message({view.upstream.name: own + waiting})
-        beat.want_heat = heat
+        beat.want_heat = request_expert_load
         try:
             # A turn of the loop, so that the caller has noted the attempt.
             await task.deferLater(self._reactor, 0)
@@ -264,10 +268,10 @@
             )
             return
         view.pulse = pulse
-        view.heat = pulse.heat or view.heat
+        view.expert_load = pulse.heat or view.expert_load
         view.heard_at = asked_at
         view.local_reported = own
-        self._config.hear(pulse.peer, pulse.offset)
+        self._config.record_peer_offset(pulse.peer, pulse.offset)
         for listener in self.on_change:
             listener()
 
@@ -280,7 +284,7 @@
         except link.LinkError:
             return
         self.peer_offsets_by_name[pulse.name] = pulse.offset
-        self._config.hear(address, pulse.offset)
+        self._config.record_peer_offset(address, pulse.offset)
 
     def _message(self, wanted: dict[str, int]) -> ttypes.Heartbeat:
         return ttypes.Heartbeat(
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
@@ -53,7 +53,7 @@
             for group in self._groups(asked.target) or {""}
         )
 
-    def open(
+    def filter_open(
         self, asked: call.Call, candidates: list[routing.Candidate]
     ) -> list[routing.Candidate]:
         """Leave out the upstreams whose group takes no work now."""
@@ -66,7 +66,7 @@
             if outage.allows(self._outage(asked.target, item.group), now)
         ]
 
-    def note_chosen(self, asked: call.Call, upstream: str) -> None:
+    def record_chosen(self, asked: call.Call, upstream: str) -> None:
         """Note that a request goes to an upstream, maybe to try its group."""
         if not self._outage_by_group or not asked.is_model:
             return
@@ -83,7 +83,7 @@
         groups = self._groups(asked.target) or {""}
         return all(self._outage(asked.target, group).out for group in groups)
 
-    def note_refused(self, asked: call.Call, upstream: str) -> None:
+    def record_refused(self, asked: call.Call, upstream: str) -> None:
         """Note that an upstream refused a request without running it."""
         group = self._group_of(upstream)
         old = self._outage(asked.target, group)
@@ -94,7 +94,7 @@
                 "A group refuses work.", target=asked.target, group=group
             )
 
-    def note_progress(self, asked: call.Call, upstream: str) -> None:
+    def record_progress(self, asked: call.Call, upstream: str) -> None:
         """Note that an upstream took a request, or goes on with one.
 
         All ranks of a group step together, so events of any stream show that
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/rate_limits.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/rate_limits.py
@@ -37,7 +37,7 @@
         reactor: Any,
         clock: clock.Clock,
         entries: Callable[[], rate_limit.Entries],
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
         on_free: Callable[[], None],
     ) -> None:
         """Make it.
@@ -46,12 +46,12 @@
           reactor: The loop.
           clock: The time.
           entries: Gives who shares the limits.
-          on_news: Called when there is something to tell others.
+          on_update: Called when there is something to tell others.
           on_free: Called when a request may go that had to wait.
         """
         self._clock = clock
         self._entries = entries
-        self._on_news = on_news
+        self._on_news = on_update
         self._on_free = on_free
         self._told_by_hash: dict[int, rate_limit.LimitReport] = {}
         self._buckets: dict[int, rate_limit.Bucket] = {}
@@ -60,7 +60,7 @@
             reactor=reactor, clock=clock, function=on_free
         )
 
-    def heard(self, start: str, stated: base.RateLimit) -> None:
+    def record_limit(self, start: str, stated: base.RateLimit) -> None:
         """Take what an answer of a start says."""
         match stated:
             case base.RequestsPerSecond(per_s=per_s):
@@ -108,7 +108,7 @@
             bucket = self._fill(number, per_s)
             self._buckets[number] = rate_limit.debited(bucket)
 
-    def add_to(self, message: ttypes.Usage, part: float) -> None:
+    def add_to(self, message: ttypes.Usage, fraction: float) -> None:
         """Add a part of the limits that are known to a datagram."""
         now = self._clock.monotonic()
         rows = sorted(
@@ -120,10 +120,10 @@
                 per_s=told.per_s,
                 age_ms=min(OLDEST_MS, int((now - told.received_at) * 1000)),
             )
-            for number, told in rows[: int(MOST_TOLD * part)]
+            for number, told in rows[: int(MOST_TOLD * fraction)]
         ]
 
-    def take(self, message: ttypes.Usage) -> None:
+    def apply(self, message: ttypes.Usage) -> None:
         """Take what another entry tells."""
         now = self._clock.monotonic()
         for row in filter(_sound, message.limits or ()):
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
@@ -30,7 +30,7 @@
 # After a loss it is looked this much later, in seconds, whether the upstream
 # has crashed: all its connections break within some milliseconds, and it is
 # down for seconds.
-LOOK_AFTER_S = 0.05
+CRASH_CHECK_DELAY_S = 0.05
 # Records in one datagram, the newest; each takes some 45 bytes of 1,400.
 MOST_TOLD = 12
 # Starts that a told record may name; conviction comes long before.
@@ -60,7 +60,7 @@
         reactor: Any,
         clock: clock.Clock,
         evidence: crash_evidence.CrashEvidence,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ) -> None:
         """Make it.
 
@@ -68,19 +68,19 @@
           reactor: The loop.
           clock: The time.
           evidence: Finds out whether a start has crashed.
-          on_news: Called when there is something to tell others.
+          on_update: Called when there is something to tell others.
         """
         self._reactor = reactor
         self._clock = clock
         self._evidence = evidence
-        self._on_news = on_news
+        self._on_news = on_update
         self._found = suspicion.Suspects()
         self._losses: dict[announcement.Start, list[Loss]] = {}
         # The suspects at each start, here and at other entries.
         self._here: dict[int, collections.Counter[int]] = {}
         self._elsewhere: dict[str, dict[int, frozenset[int]]] = {}
 
-    def record(self, asked: call.Call) -> suspicion.Record | None:
+    def lookup(self, asked: call.Call) -> suspicion.Record | None:
         """Return what is known of a request, None if nothing is."""
         if not self._found.by_digest:
             return None
@@ -88,7 +88,7 @@
 
     def convicted_s(self, asked: call.Call) -> float:
         """Return for how long a request is sent nowhere, 0 if it may go."""
-        found = self.record(asked)
+        found = self.lookup(asked)
         if found is None or found.verdict is not suspicion.Verdict.CONVICTED:
             return 0.0
         age_s = self._clock.monotonic() - found.updated_at
@@ -102,7 +102,7 @@
         One that was there at a single crash may go there if it must: as many
         were beside it as an upstream has in progress.
         """
-        found = self.record(asked)
+        found = self.lookup(asked)
         if found is None or found.verdict is not suspicion.Verdict.SUSPECTED:
             return candidates
         own = digest_of(asked)
@@ -120,7 +120,7 @@
 
     def begin(self, asked: call.Call, start: announcement.Start) -> None:
         """Note that a request is sent to a start."""
-        if self.record(asked) is None:
+        if self.lookup(asked) is None:
             return
         number = short_hash.of(start.key)
         here = self._here.setdefault(number, collections.Counter())
@@ -138,7 +138,7 @@
         if not self._here[number]:
             del self._here[number]
 
-    def ended_well(self, asked: call.Call) -> None:
+    def record_success(self, asked: call.Call) -> None:
         """Clear a request that an upstream has answered whole."""
         if not self._found.by_digest:
             return
@@ -147,7 +147,7 @@
             LOG.info("A suspected request has ended well.", request=asked.id)
             self._on_news()
 
-    def note_lost(
+    def record_lost(
         self,
         asked: call.Call,
         upstream: announcement.Announcement,
@@ -169,7 +169,7 @@
 
     async def _look(self, upstream: announcement.Announcement) -> None:
         """Find out whether a start has crashed."""
-        await task.deferLater(self._reactor, LOOK_AFTER_S)
+        await task.deferLater(self._reactor, CRASH_CHECK_DELAY_S)
         crashed = await self._evidence.has_crashed(upstream)
         losses = self._losses.pop(upstream.start)
         if crashed:
@@ -216,7 +216,7 @@
         rows = (by.get(number) for by in self._elsewhere.values())
         return frozenset().union(*(row for row in rows if row))
 
-    def add_to(self, message: ttypes.Usage, part: float) -> None:
+    def add_to(self, message: ttypes.Usage, fraction: float) -> None:
         """Add a part of what is known to a datagram."""
         now = self._clock.monotonic()
         self._found.expire(now)
@@ -233,7 +233,7 @@
                 age_ms=min(OLDEST_MS, int((now - record.updated_at) * 1000)),
                 running=running.get(item, [])[:MOST_STARTS],
             )
-            for item, record in rows[: int(MOST_TOLD * part)]
+            for item, record in rows[: int(MOST_TOLD * fraction)]
         ]
 
     def _running_by_digest(self) -> dict[int, list[int]]:
@@ -243,7 +243,7 @@
                 found.setdefault(item, []).append(number)
         return found
 
-    def take(self, message: ttypes.Usage) -> None:
+    def apply(self, message: ttypes.Usage) -> None:
         """Take what another entry tells."""
         rows = [row for row in message.suspects or () if _sound(row)]
         if not rows:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/targets.py
@@ -20,7 +20,7 @@
         self._takes_s: dict[str, float] = {}
         self._pace_by_group: dict[tuple[str, str], pace.Pace] = {}
 
-    def follow(self, state: states.State) -> None:
+    def apply_config(self, state: states.State) -> None:
         """Apply the goals and engine settings of a configuration."""
         self._goal_s = {}
         self._fixed_s = {
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
@@ -66,17 +66,17 @@
             reactor=reactor,
             clock=clock,
             entries=lambda: usage.entries,
-            on_news=usage.changed,
-            on_free=self.tell_change,
+            on_update=usage.changed,
+            on_free=self.notify_change,
         )
         self.backoffs = backoffs.Backoffs(
             reactor=reactor,
             clock=clock,
             metrics=metrics,
-            on_over=self.tell_change,
+            on_over=self.notify_change,
         )
         self.departures = departures.Departures(
-            clock=clock, on_change=self.tell_change
+            clock=clock, on_change=self.notify_change
         )
         self.groups = groups.Groups(
             reactor=reactor,
@@ -88,7 +88,7 @@
             peers=peers,
         )
 
-    def tell_change(self) -> None:
+    def notify_change(self) -> None:
         """Let requests that wait look again for an upstream."""
         for listener in self.on_change:
             listener()
@@ -143,7 +143,7 @@
             group=self.groups.of(start.key),
         )
 
-    def turn_s(self, target: str, *, ahead: int) -> float:
+    def dispatch_wait_s(self, target: str, *, ahead: int) -> float:
         """Return when upstreams themselves let the next request go.
 
         Args:
@@ -155,14 +155,18 @@
           no request of this entry may go to any.
         """
         starts = [view.upstream.start for view in self._serving(target)]
-        waits = [self._turn_s(start, ahead=0) for start in starts]
+        waits = [self._dispatch_wait_s(start, ahead=0) for start in starts]
         if not waits or min(waits) == 0:
             return 0.0
         # What waits before it goes by turns to all of them.
         each = ahead // len(starts)
-        return min(self._turn_s(start, ahead=each) for start in starts)
+        return min(
+            self._dispatch_wait_s(start, ahead=each) for start in starts
+        )
 
-    def _turn_s(self, start: announcement.Start, *, ahead: int) -> float:
+    def _dispatch_wait_s(
+        self, start: announcement.Start, *, ahead: int
+    ) -> float:
         """Return when a start itself lets a request go, in seconds."""
         limit_s = self.rate_limits.wait_s(start.key, ahead=ahead)
         return max(limit_s, self.backoffs.left_s(start))
@@ -190,33 +194,35 @@
             return False
         return not view.upstream.leaving
 
-    def started_again(self, start: announcement.Start) -> bool:
+    def restarted(self, start: announcement.Start) -> bool:
         """Tell whether another start has taken the place of one."""
         view = self.views_by_name.get(start.name)
         return view is not None and starts.are_distinct(
             view.upstream.born_ms, start.born_ms
         )
 
-    def note_sent(self, view: views.View) -> None:
+    def record_sent(self, view: views.View) -> None:
         """Note that a request goes to an upstream."""
         self.rate_limits.sent(view.upstream.start.key)
 
-    def note_rate_limit(
+    def record_rate_limit(
         self, start: announcement.Start, stated: base.RateLimit
     ) -> None:
         """Take what an answer says of the limit of its upstream."""
         if self.view_of(start) is not None:
-            self.rate_limits.heard(start.key, stated)
+            self.rate_limits.record_limit(start.key, stated)
 
-    def note_backoff(self, start: announcement.Start, seconds: float) -> None:
+    def record_backoff(
+        self, start: announcement.Start, seconds: float
+    ) -> None:
         """Take for how long a refusal asks to be left alone."""
-        self.backoffs.heard(self._known_start(start), seconds)
+        self.backoffs.record_backoff(self._known_start(start), seconds)
 
-    def note_leaving(self, start: announcement.Start) -> None:
+    def record_leaving(self, start: announcement.Start) -> None:
         """Take that an answer says that its upstream leaves."""
-        self.departures.heard(self._known_start(start))
+        self.departures.record_leaving(self._known_start(start))
 
-    def unwanted(self, start: announcement.Start) -> str:
+    def refusal_reason(self, start: announcement.Start) -> str:
         """Return why a start wants no request now; "" if it may get one."""
         if self.departures.leaving(start):
             return "leaving"
@@ -231,7 +237,7 @@
         view = self.views_by_name.get(start.name)
         return start if view is None else view.upstream.start
 
-    def note_pause(self, asked: call.Call, pause_s: float) -> None:
+    def record_pause(self, asked: call.Call, pause_s: float) -> None:
         """Take the pause between two events of a stream."""
         longest_s = asked.route.pause_s
         if not longest_s or asked.choice is None:
@@ -250,10 +256,10 @@
         """Tell whether any upstream of a target is listed."""
         return bool(self.candidates(target))
 
-    def use(self, target: str) -> None:
+    def record_demand(self, target: str) -> None:
         """Nothing to do: views need no request to stay fresh."""
 
-    async def wake(self, target: str | None = None) -> None:
+    async def refresh(self, target: str | None = None) -> None:
         """Nothing to do: the list is followed all the time."""
 
     def view_of(self, start: announcement.Start) -> views.View | None:
@@ -262,7 +268,7 @@
         same = view is not None and view.upstream.start == start
         return view if same else None
 
-    def note_load(
+    def record_load(
         self, start: announcement.Start, load: announcement.Load
     ) -> None:
         """Take what an upstream's answer told of its load."""
@@ -270,23 +276,23 @@
         if view is None:
             return
         now = self._clock.monotonic()
-        view.note_load(
+        view.record_load(
             load, now, remote_in_flight=self._usage.others(start.key)
         )
 
-    def note_refused(self, start: announcement.Start) -> None:
+    def record_refused(self, start: announcement.Start) -> None:
         """Note that an upstream refused a request without running it."""
         view = self.view_of(start)
         if view is not None:
             view.refused_at = self._clock.monotonic()
 
-    def note_taken(self, target: str, seconds: float) -> None:
+    def record_answer_time(self, target: str, seconds: float) -> None:
         """Take how long an upstream took for a whole answer."""
         self._targets.record_duration(target, seconds)
 
-    def follow(self, state: states.State) -> None:
+    def apply_config(self, state: states.State) -> None:
         """Take from the configuration how soon answers are wanted."""
-        self._targets.follow(state)
+        self._targets.apply_config(state)
 
     def counts(self) -> dict[str, int]:
         """Return this entry's requests in progress by start."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/usage.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/usage.py
@@ -32,7 +32,7 @@
 # with their number and not with its square: seconds for each other entry.
 TOLD_AFTER_EACH_S = 0.006
 # Without a change an entry tells its counts this often, in seconds.
-TOLD_EVERY_S = 0.5
+SEND_INTERVAL_S = 0.5
 # An entry that was silent for this long is taken to be gone, in seconds:
 # three datagrams in a row were lost, or its process has ended.
 SILENT_S = 1.6
@@ -44,7 +44,7 @@
 KNOWN_EVERY_S = 2.0
 # What entries tell beside their counts gets so much of its usual room in a
 # datagram, until the whole fits.
-PARTS = (1.0, 0.5, 0.25, 0.0)
+FRACTIONS = (1.0, 0.5, 0.25, 0.0)
 # An entry that has gone still counts among those that share an upstream's
 # limit for this long, in seconds: it may live where nobody hears it.
 REMEMBERED_S = 60.0
@@ -76,14 +76,14 @@
     address: str
 
 
-class News(Protocol):
+class Updates(Protocol):
     """What entries tell each other beside their counts."""
 
-    def add_to(self, message: ttypes.Usage, part: float) -> None:
+    def add_to(self, message: ttypes.Usage, fraction: float) -> None:
         """Add a part of it to a datagram, 1.0 for as much as is usual."""
         ...
 
-    def take(self, message: ttypes.Usage) -> None:
+    def apply(self, message: ttypes.Usage) -> None:
         """Take what another entry tells."""
         ...
 
@@ -92,7 +92,7 @@
     """Tells this entry's counts and keeps those of others.
 
     Attributes:
-      news: What goes into the datagrams beside the counts.
+      updates: What goes into the datagrams beside the counts.
       on_gone: Hears the name of an entry that is no longer heard.
       entries: Who shares what upstreams can take.
       on_offset: Hears how far others are in the configuration.
@@ -135,7 +135,7 @@
         self.on_roster_offset: OffsetListener = _ignore
         self.on_change: Callable[[], None] = lambda: None
         self.on_gone: Callable[[str], None] = _ignore_name
-        self.news: tuple[News, ...] = ()
+        self.updates: tuple[Updates, ...] = ()
         self._reactor = reactor
         self._clock = clock
         self._name = name
@@ -163,7 +163,7 @@
     def start(self) -> None:
         """Listen, and tell the counts from now on."""
         self._reactor.listenUDP(self._port, self, interface=self._host)
-        self._loop.start(TOLD_EVERY_S)
+        self._loop.start(SEND_INTERVAL_S)
 
     def stop(self) -> None:
         """Tell nothing more; others notice by the silence."""
@@ -215,8 +215,8 @@
         )
         self._heard_at_by_name[told.name] = self._clock.monotonic()
         self._count_entries()
-        for item in self.news:
-            item.take(told)
+        for item in self.updates:
+            item.apply(told)
         self.on_offset(told.peer, told.offset)
         self.on_roster_offset(told.peer, told.roster_offset)
         self._learn(told.known)
@@ -241,9 +241,9 @@
         """Return the datagram, with as much news as fits."""
         self._number += 1
         told = self._counts_told()
-        for part in PARTS:
-            for item in self.news:
-                item.add_to(told, part)
+        for fraction in FRACTIONS:
+            for item in self.updates:
+                item.add_to(told, fraction)
             data = datagram.encode(told)
             if len(data) <= LARGEST:
                 break
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/view.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/view.py
@@ -97,7 +97,7 @@
             group=group,
         )
 
-    def note_load(
+    def record_load(
         self, load: announcement.Load, now: float, *, remote_in_flight: int
     ) -> None:
         """Take what an answer told of its load.
--- a/packages/reelscale-daemon/src/reelscale_daemon/entry.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/entry.py
@@ -111,7 +111,7 @@
     def heartbeat(self, beat: ttypes.Heartbeat) -> ttypes.Pulse:
         """Exchange offsets with another entry."""
         base = self._base
-        base.config.hear(beat.peer, beat.offset)
+        base.config.record_peer_offset(beat.peer, beat.offset)
         self._membership.peer_offsets_by_name[beat.name] = beat.offset
         return ttypes.Pulse(
             name=base.settings.name,
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/admit.py
@@ -26,10 +26,10 @@
       CodedError: "queue-full", "displaced", "deadline" or "no-upstream".
       CallerDisconnectedError: The caller disconnected while it waited.
     """
-    context.membership.use(request.target)
+    context.membership.record_demand(request.target)
     if not context.reachable(request.target):
         # Grants of an idle target expire; request new ones.
-        await context.membership.wake(request.target)
+        await context.membership.refresh(request.target)
     if request.disconnected:
         # Without this check the request of a caller that is gone takes a slot.
         raise writer.CallerDisconnectedError
@@ -93,11 +93,13 @@
       CodedError: "upstream-limit" or "upstream-backoff", with the expected
         wait as Retry-After.
     """
-    turn_s = context.membership.turn_s(request.target, ahead=len(queue))
-    if context.clock.monotonic() + turn_s <= request.deadline:
+    dispatch_wait_s = context.membership.dispatch_wait_s(
+        request.target, ahead=len(queue)
+    )
+    if context.clock.monotonic() + dispatch_wait_s <= request.deadline:
         return
     limits = context.membership.limits_per_s(request.target)
-    code, detail, after_s = "upstream-backoff", BACKOFF_DETAIL, turn_s
+    code, detail, after_s = "upstream-backoff", BACKOFF_DETAIL, dispatch_wait_s
     if limits:
         code, detail = "upstream-limit", LIMIT_DETAIL
         after_s = rate_limit.retry_after_s(limits)
@@ -107,7 +109,9 @@
         peer=request.target,
         status=503,
         detail=detail,
-        retry_after_s=max(after_s, turn_s) if turn_s < math.inf else after_s,
+        retry_after_s=max(after_s, dispatch_wait_s)
+        if dispatch_wait_s < math.inf
+        else after_s,
     )
 
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/attempt.py
@@ -104,7 +104,7 @@
         members = states.members(context.config.state, request.target)
         name = idempotency.owner_of(_scoped_key(request), members) or ""
         reason = "key"
-        if context.membership.away(name):
+        if context.membership.unavailable(name):
             raise AttemptLostError("home-away", peer=name, not_run=True)
     else:
         name, reason = request.choice.name, request.choice.reason
@@ -149,7 +149,7 @@
         return
     if verdict.code == LEAVING:
         # Requests grants from other agents if this was the only upstream.
-        context.membership.note_leaving(name)
+        context.membership.record_leaving(name)
     raise AttemptLostError(
         verdict.code,
         peer=name,
@@ -174,7 +174,7 @@
     instead of waiting for a slot of another upstream.
     """
     if not lost.written:
-        context.membership.note_unreachable(name)
+        context.membership.record_unreachable(name)
 
 
 async def _settle(
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/context.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/context.py
@@ -74,7 +74,7 @@
         """Return whether any upstream of a target accepts requests."""
         ...
 
-    def use(self, target: str) -> None:
+    def record_demand(self, target: str) -> None:
         """Record that a request needs a target."""
         ...
 
@@ -86,7 +86,7 @@
         """Return the groups of ranks that serve a target."""
         ...
 
-    def turn_s(self, target: str, *, ahead: int) -> float:
+    def dispatch_wait_s(self, target: str, *, ahead: int) -> float:
         """Return the wait, in seconds, that upstreams' limits impose."""
         ...
 
@@ -94,11 +94,11 @@
         """Return the rate limits that upstreams of a target stated."""
         ...
 
-    def note_sent(self, view: Any) -> None:
+    def record_sent(self, view: Any) -> None:
         """Record that a request is sent to an upstream."""
         ...
 
-    async def wake(self, target: str) -> None:
+    async def refresh(self, target: str) -> None:
         """Request new grants from the upstreams of a target."""
         ...
 
@@ -202,8 +202,14 @@
         queue = self.queue(request.target)
         name = request.workspace.name
         after_s = queue.retry_after_s(request.id, name, request.priority)
-        turn_s = self.membership.turn_s(request.target, ahead=len(queue))
-        return max(after_s, turn_s) if turn_s < math.inf else after_s
+        dispatch_wait_s = self.membership.dispatch_wait_s(
+            request.target, ahead=len(queue)
+        )
+        return (
+            max(after_s, dispatch_wait_s)
+            if dispatch_wait_s < math.inf
+            else after_s
+        )
 
     def remaining_s(self, request: call.Call) -> float:
         """Return the seconds until a request's answer deadline."""
@@ -233,7 +239,7 @@
     def choose(self, request: call.Call) -> routing.Choice | None:
         """Choose an upstream for a request."""
         candidates = self.membership.candidates(request.target)
-        candidates = self.outages.open(request, candidates)
+        candidates = self.outages.filter_open(request, candidates)
         if self.suspects is not None:
             candidates = self.suspects.isolate(request, candidates)
         now = self.clock.monotonic()
@@ -249,8 +255,8 @@
         request.view = view
         view.local_in_flight += 1
         view.breaker = circuit.sent(view.breaker)
-        self.membership.note_sent(view)
-        self.outages.note_chosen(request, request.choice.name)
+        self.membership.record_sent(view)
+        self.outages.record_chosen(request, request.choice.name)
         self.on_local_change()
 
     def release(self, request: call.Call) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct.py
@@ -94,7 +94,7 @@
     Raises:
       AttemptLostError: "backoff" or "leaving"; nothing was sent.
     """
-    code = context.membership.unwanted(upstream.start)
+    code = context.membership.refusal_reason(upstream.start)
     if not code:
         return
     LOG.info(
@@ -190,7 +190,7 @@
         for item in candidates
         if item.name == active.name
     )
-    active.context.suspects.note_lost(
+    active.context.suspects.record_lost(
         active.request, active.upstream, running=running
     )
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
@@ -79,27 +79,27 @@
     began = context.clock.monotonic()
     head = context.dialect.answer(await active.conn.head())
     if head.load is not None:
-        context.membership.note_load(active.upstream.start, head.load)
+        context.membership.record_load(active.upstream.start, head.load)
     if _answers_request(active, head):
         # Applied before the body, which may take seconds to arrive.
-        context.membership.note_rate_limit(
+        context.membership.record_rate_limit(
             active.upstream.start, head.rate_limit
         )
         _record_backoff(active, head)
         if head.leaving:
-            context.membership.note_leaving(active.upstream.start)
+            context.membership.record_leaving(active.upstream.start)
     if head.not_run:
         raise await _refused(active, head)
-    context.outages.note_progress(active.request, active.name)
+    context.outages.record_progress(active.request, active.name)
     _check_request_id(active, head)
     if _is_stream(head):
         await _relay_events(active, head)
     else:
         await _relay_body(active, head)
     context.record_success(active.name, view=active.request.view)
-    context.suspects.ended_well(active.request)
+    context.suspects.record_success(active.request)
     taken_s = context.clock.monotonic() - began
-    context.membership.note_taken(active.request.target, taken_s)
+    context.membership.record_answer_time(active.request.target, taken_s)
 
 
 def _record_backoff(active: ActiveAttempt, head: base.AnswerHead) -> None:
@@ -107,7 +107,7 @@
     if head.status not in backoff.STATUSES:
         return
     if head.retry_after_s is not None:
-        active.context.membership.note_backoff(
+        active.context.membership.record_backoff(
             active.upstream.start, head.retry_after_s
         )
 
@@ -116,8 +116,8 @@
     active: ActiveAttempt, head: base.AnswerHead
 ) -> attempt.AttemptLostError:
     """Record the refusal of the upstream; return the error."""
-    active.context.outages.note_refused(active.request, active.name)
-    active.context.membership.note_refused(active.upstream.start)
+    active.context.outages.record_refused(active.request, active.name)
+    active.context.membership.record_refused(active.upstream.start)
     # Drains the answer, so that the connection can be reused.
     while await active.conn.chunk() is not None:
         pass
@@ -218,7 +218,7 @@
             continue
         _check_order(active, complete)
         _send_events(active, head, complete)
-        active.context.outages.note_progress(active.request, active.name)
+        active.context.outages.record_progress(active.request, active.name)
         last_at = _record_pause(active, last_at)
     if cutter.rest:
         raise _garbled(active)
@@ -259,7 +259,7 @@
     """Record the pause since the last events; return the current time."""
     now = active.context.clock.monotonic()
     if last_at is not None:
-        active.context.membership.note_pause(active.request, now - last_at)
+        active.context.membership.record_pause(active.request, now - last_at)
     return now
 
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/front.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/front.py
@@ -109,9 +109,9 @@
             evidence=crash_evidence.CrashEvidence(
                 reactor=reactor,
                 upstreams=self._directory,
-                open_to=self._connections.count,
+                open_connections=self._connections.count,
             ),
-            on_news=self._usage.changed,
+            on_update=self._usage.changed,
         )
         self._parts = self._make_parts()
         self._suspension = suspension.Watch(
@@ -184,12 +184,12 @@
     def _connect(self) -> None:
         """Have the parts tell each other what has changed."""
         self._base.config.listen(self._follow)
-        self._base.config.listen(self._directory.follow)
+        self._base.config.listen(self._directory.apply_config)
         self._parts.on_local_change = self._usage.changed
         self._usage.on_change = self._parts.pump
         self._usage.on_gone = self._suspects.forget
-        self._usage.news = (self._directory.rate_limits, self._suspects)
-        self._usage.on_offset = self._base.config.hear
+        self._usage.updates = (self._directory.rate_limits, self._suspects)
+        self._usage.on_offset = self._base.config.record_peer_offset
         self._usage.on_roster_offset = self._directory.on_peer_offset
 
     async def start(self) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/operators.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/operators.py
@@ -61,7 +61,7 @@
             case "GET", ["plans", plan_id]:
                 return self._verdict(plan_id)
             case "GET", ["status"]:
-                await self._membership.wake()
+                await self._membership.refresh()
                 return self._status()
             case "GET", ["objects", kind] if kind in KINDS:
                 return self._objects(kind)
