--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/__init__.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/__init__.py
@@ -1,4 +1,4 @@
-"""What meets other systems by their own protocols."""
+"""Adapters to the protocols of other systems."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/base.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/base.py
@@ -1,7 +1,7 @@
-"""What an entry needs of the surroundings it runs in, as interfaces.
+"""Interfaces between entries or agents and the platform they run on.
 
-An adapter translates between these and the protocols of one platform.
-Decisions, state and recovery stay on this side.
+An adapter translates between these and the protocols of one platform; it
+makes no decisions, keeps no state and does no recovery.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -29,12 +29,12 @@
 
 
 class Rows(NamedTuple):
-    """What a read of the log gave.
+    """Records read from the log.
 
     Attributes:
       rows: (offset, data) pairs in offset order.
-      oldest: Lowest offset that is needed and that the log still keeps.
-      head: Offset that the next record will get.
+      oldest: Lowest needed offset that the log still retains.
+      head: Offset of the next record to be appended.
     """
 
     rows: list[tuple[int, Any]]
@@ -43,7 +43,7 @@
 
 
 class Source(Protocol):
-    """The log that the configuration is folded from."""
+    """The log from which the configuration is folded."""
 
     async def read(self, from_offset: int, *, wait_s: float) -> Rows:
         """Read records, waiting for the first; CodedError "log-down"."""
@@ -55,12 +55,13 @@
 
 
 class RosterPage(NamedTuple):
-    """A part of the list of upstreams.
+    """A page of the list of upstreams.
 
     Attributes:
-      items: What has changed, in order.
-      next_offset: Where to read on.
-      whole: Whether items are all there is, so that others are gone.
+      items: Changes, in order.
+      next_offset: Offset of the next page.
+      complete: Whether items are the complete list, so that upstreams not in
+        it were removed.
     """
 
     items: list[announcement.Item]
@@ -77,37 +78,37 @@
 
 
 class RankPort(Protocol):
-    """A rank, near or far; its errors are CodedError "rank-lost"."""
+    """A local or remote rank; its errors are CodedError "rank-lost"."""
 
     async def report(self) -> rank.Rank:
-        """Return what the rank reports now."""
+        """Return the current report of the rank."""
         ...
 
     async def counted(self) -> demand.Counters:
-        """Return how often its requests have chosen each expert."""
+        """Return how often its requests were routed to each expert."""
         ...
 
     async def experts(self) -> tuple[tuple[int, ...], ...]:
-        """Return the experts that it holds, by set of layers."""
+        """Return the experts that it has loaded, by set of layers."""
         ...
 
     async def order(
         self, order: rank.Order, *, fence: int, epoch: int
     ) -> rank.Outcome:
-        """Give it an order, void in another epoch; this does not raise."""
+        """Send an order, valid in one epoch only; does not raise."""
         ...
 
 
 class EngineLimits(NamedTuple):
-    """What the engine of a group allows.
+    """Limits of the engine of a group.
 
     Attributes:
-      experts: Experts in each set of layers.
-      places: Experts of a set that a rank holds at most.
-      spare: Experts of a set that a rank may load in one change.
-      expert_mb: Size of an expert, in megabytes, 0 if that is not known.
-      link_mbps: What a rank loads experts with, in megabits a second, 0 if
-        that is not known.
+      experts: Number of experts in each set of layers.
+      places: Maximum number of experts of a set on a rank.
+      spare: Maximum number of experts of a set that a rank loads per change.
+      expert_mb: Size of an expert in megabytes, 0 if unknown.
+      link_mbps: Bandwidth for loading experts in megabits per second, 0 if
+        unknown.
     """
 
     experts: int
@@ -118,17 +119,17 @@
 
     @property
     def load_s(self) -> float:
-        """What loading one expert takes a rank, in seconds, 0 if unknown."""
+        """Time to load one expert, in seconds, 0 if unknown."""
         if self.expert_mb <= 0 or self.link_mbps <= 0:
             return 0.0
         return self.expert_mb * 8 / self.link_mbps
 
 
 class Engines(Protocol):
-    """What the operators say of engines."""
+    """Engine limits set by the operators."""
 
     async def limits(self, target: str) -> EngineLimits | None:
-        """Return those of a group, if there are; CodedError "log-down"."""
+        """Return the limits of a group, if set; CodedError "log-down"."""
         ...
 
 
@@ -136,30 +137,30 @@
     """The right to change the layout of one group; CodedError "log-down"."""
 
     async def renew(self) -> bool:
-        """Ask for the lease, or to keep it; tell whether it is held."""
+        """Acquire or renew the lease; return whether it is held."""
         ...
 
     async def draw_fence(self) -> int:
-        """Return a number above all that were drawn for this target."""
+        """Return a number above all drawn before for this target."""
         ...
 
     async def leave(self) -> None:
-        """Give it up."""
+        """Release the lease."""
         ...
 
 
 class RequestsPerSecond(NamedTuple):
-    """An upstream takes this many requests a second of all entries."""
+    """Limit of an upstream on the requests per second of all entries."""
 
     per_s: float
 
 
 class NoRateLimit(NamedTuple):
-    """An upstream states no limit: one that it had is over."""
+    """The upstream states no limit; an earlier one no longer applies."""
 
 
 class UnreadableRateLimit(NamedTuple):
-    """What an upstream states as its limit is no number."""
+    """The limit that the upstream states is not a number."""
 
     text: str
 
@@ -168,7 +169,7 @@
 
 
 def read_rate_limit(stated: bytes | None) -> RateLimit:
-    """Return the limit that an answer states, if it states any."""
+    """Parse the rate limit of an answer."""
     if stated is None:
         return NoRateLimit()
     text = stated.decode("latin-1")
@@ -179,28 +180,28 @@
 
 
 def read_retry_after(stated: bytes | None) -> float | None:
-    """Return the seconds that a Retry-After states, if it states any."""
+    """Return the seconds of a Retry-After header, None if not readable."""
     if stated is None:
         return None
     text = stated.decode("latin-1")
     seconds = backoff.parse_retry_after(text)
     if seconds is None:
-        LOG.warning("A Retry-After cannot be read.", text=text[:40])
+        LOG.warning("Cannot parse a Retry-After header.", text=text[:40])
     return seconds
 
 
 class AnswerHead(NamedTuple):
-    """The head of an upstream's answer, in our terms.
+    """The head of an upstream's answer, independent of the platform.
 
     Attributes:
       status: HTTP status.
-      headers: Those that go on to the caller.
-      request_id: Id of the request that it answers, "" if not told.
-      not_run: Whether the upstream states that it did not run it.
-      retry_after_s: When the upstream asks to be tried again, if it does.
-      load: How busy the upstream is, if it told.
-      rate_limit: How many requests a second it takes.
-      leaving: Whether it says that it is about to end.
+      headers: Headers to forward to the caller.
+      request_id: Id of the request that it answers, "" if not stated.
+      not_run: Whether the upstream states that it did not run the request.
+      retry_after_s: Retry-After in seconds, if stated.
+      load: Load of the upstream, if stated.
+      rate_limit: Rate limit of the upstream.
+      leaving: Whether the upstream states that it is about to stop.
     """
 
     status: int
@@ -214,7 +215,7 @@
 
 
 class Dialect(Protocol):
-    """What upstreams speak."""
+    """The protocol of the platform's upstreams."""
 
     def request(
         self,
@@ -224,36 +225,36 @@
         remaining_s: float,
         resume_after: int | None,
     ) -> connection.Request:
-        """Return a caller's request as one upstream takes it."""
+        """Translate a caller's request for an upstream."""
         ...
 
     def answer(self, head: connection.Head) -> AnswerHead:
-        """Read the head of an upstream's answer."""
+        """Translate the head of an upstream's answer."""
         ...
 
 
 class Surface(Protocol):
-    """What callers speak.
+    """The protocol of the platform's callers.
 
     Attributes:
-      ready_path: Path at which the balancer in front asks for readiness.
+      ready_path: Path of the readiness checks of the balancer in front.
     """
 
     ready_path: bytes
 
     def call(self, request: Any, now: float) -> call.Call:
-        """Read a caller's request; CodedError if it is none."""
+        """Parse a caller's request; CodedError if it is malformed."""
         ...
 
     def refuse(
         self, request: Any, problem: error.CodedError, *, request_id: str
     ) -> None:
-        """Answer a request with an error, now."""
+        """Answer a request with an error."""
         ...
 
 
 class Adapter(NamedTuple):
-    """All that an entry needs of one platform."""
+    """The interfaces of one platform that an entry uses."""
 
     source: Source
     roster: Roster
@@ -262,13 +263,13 @@
 
 
 class AgentAdapter(NamedTuple):
-    """All that the agent of a rank needs of one platform.
+    """The interfaces of one platform that the agent of a rank uses.
 
     Attributes:
-      port_to: Gives the rank at an "ip:port", the own one or another's.
-      roster: The platform's list.
-      engines: What the operators say of engines.
-      lease_on: Gives the right to change the layout of a group, by its name.
+      port_for: Returns the port to the rank at an "ip:port".
+      roster: The platform's list of upstreams.
+      engines: Engine limits set by the operators.
+      lease_for: Returns the lease on the layout of a group, by its name.
     """
 
     port_for: Callable[[str], RankPort]
@@ -278,7 +279,7 @@
 
 
 class AdapterFactory(Protocol):
-    """Makes the adapter of a platform; a function of its package."""
+    """Creates the adapter for entries; a function of a platform's package."""
 
     def __call__(
         self,
@@ -288,12 +289,12 @@
         settings: settings.Settings,
         connections: pool.Pool,
     ) -> Adapter:
-        """Make the adapter."""
+        """Create the adapter."""
         ...
 
 
 class AgentAdapterFactory(Protocol):
-    """Makes what an agent needs; a function of the platform's package."""
+    """Creates the adapter for agents; a function of a platform's package."""
 
     def __call__(
         self,
@@ -303,5 +304,5 @@
         settings: settings.Settings,
         connections: pool.Pool,
     ) -> AgentAdapter:
-        """Make the adapter."""
+        """Create the adapter."""
         ...
--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/decoding.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/decoding.py
@@ -1,8 +1,7 @@
-"""Bytes of others, held against the shape that they should have.
+"""Decoding and validation of JSON messages from other systems.
 
-Anything may stand in a record: another writer's, a field that is missing or
-of another type, bytes that are no text.  So a message is checked as a whole
-before any of it is believed.
+Records may come from other writers, lack fields, have fields of other types
+or not be text at all.  A message is validated completely before use.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -13,16 +12,16 @@
 import msgspec
 
 T = TypeVar("T")
-# The reason where bytes are no JSON, or not of the kind that they should be.
+# Reason for bytes that are not JSON, or not of the expected type.
 NOT_JSON = "json"
 
 
 class SchemaError(Exception):
-    """Bytes do not have the shape that they should.
+    """A message does not match its schema.
 
     Attributes:
-      reason: The field that is wrong, or NO_JSON; one of a small set.
-      detail: What was expected, for people.
+      reason: The invalid field, or NOT_JSON; one of a small set.
+      detail: Description of the mismatch.
     """
 
     def __init__(self, reason: str, detail: str) -> None:
@@ -32,10 +31,10 @@
 
 
 def decode(data: bytes | msgspec.Raw, shape: type[T]) -> T:
-    """Return what bytes hold; BadShapeError if it is of another shape."""
+    """Decode JSON into a struct; SchemaError if it does not match."""
     try:
         if isinstance(data, bytes):
-            # The library does not look into fields that it passes over.
+            # msgspec does not validate fields that it skips.
             data.decode()
         return msgspec.json.decode(data, type=shape)
     except msgspec.ValidationError as bad:
@@ -45,13 +44,13 @@
 
 
 def optional(value: Any) -> Any:
-    """Return a field that need not be there; None if it is not."""
+    """Return the value of an optional field, None if it is unset."""
     return None if value is msgspec.UNSET else value
 
 
 def _field(detail: str, shape: type[Any]) -> str:
-    """Return the field that an error of the library names, else NO_JSON."""
-    # It names a path, such as `$.group.name`, or a field that is missing.
+    """Return the field that an error of msgspec names, else NOT_JSON."""
+    # The error has a path, such as `$.group.name`, or a missing field.
     named = set(detail.replace("`", ".").replace("[", ".").split("."))
     known = getattr(shape, "__struct_fields__", ())
     fields = [name for name in known if name in named]
--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/engine.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/engine.py
@@ -1,4 +1,4 @@
-"""Meets a model engine's control side: load reports and fenced orders."""
+"""Control interface of a model engine: load reports and fenced orders."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -11,15 +11,15 @@
 
 
 class Load(NamedTuple):
-    """What an engine reports of itself; it lags.
+    """Load report of an engine, which lags.
 
     Attributes:
       running: Requests in progress.
       queued: Requests waiting in the engine.
-      capacity: Requests that it runs at once.
-      step_ms: Recent time of a step.
-      model_version: The model in force.
-      heat: Recent tokens of each expert, layer after layer.
+      capacity: Maximum number of concurrent requests.
+      step_ms: Recent duration of a step.
+      model_version: The loaded model version.
+      heat: Recent tokens per expert, layer by layer.
     """
 
     running: int
@@ -31,43 +31,43 @@
 
 
 class Engine:
-    """The control side of the engine behind one agent."""
+    """Control interface of the engine behind one agent."""
 
     def __init__(self, *, upstream: upstream.Upstream) -> None:
         self._upstream = upstream
 
     async def load(self) -> Load:
-        """Ask for the load report.
+        """Read the load report.
 
         Raises:
-          Exception: The engine did not answer, or not in this form.
+          Exception: No answer, or a malformed one.
         """
         data = await self._upstream.fetch("GET", "/load")
         data["heat"] = tuple(data.get("heat", ()))
         return Load(**data)
 
     async def rank(self) -> lockstep.Rank:
-        """Ask what layouts the engine's ranks hold."""
+        """Read the layouts that the engine's ranks hold."""
         return _rank(await self._upstream.fetch("GET", "/rank"))
 
     async def role(self, role: str, fence: int) -> None:
-        """Order a change of role, fenced by a log offset."""
+        """Order a change of role, with a log offset as fence."""
         order = {"kind": "role", "fence": fence, "role": role}
         await self._upstream.fetch("POST", "/orders", order)
 
     async def order(
         self, order: lockstep.Order, layout: model.Layout | None
     ) -> tuple[lockstep.Rank, bool]:
-        """Give a layout order.
+        """Send a layout order.
 
         Returns:
-          What the ranks hold after it, and whether it was accepted.
+          The state of the ranks after it, and whether it was accepted.
         """
         data = {"kind": type(order).__name__.lower(), **order._asdict()}
         if layout is not None:
             data["layout"] = model.to_json(layout)
-        got = await self._upstream.fetch("POST", "/orders", data)
-        return _rank(got["rank"]), got["accepted"]
+        answer = await self._upstream.fetch("POST", "/orders", data)
+        return _rank(answer["rank"]), answer["accepted"]
 
 
 def _rank(data: dict[str, Any]) -> lockstep.Rank:
--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/platform.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/platform.py
@@ -1,4 +1,4 @@
-"""Meets the platform: its append-only log and its list of boxes."""
+"""HTTP client of the platform: its append-only log and its list of boxes."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -14,12 +14,11 @@
 from . import base
 
 READ_LIMIT = 2000
-# An answer that takes longer counts as lost.
 TIMEOUT_S = 3.0
 
 
 def make_base(*, reactor: Any, settings: settings.Settings) -> process.Base:
-    """Return the base of a process that meets this platform."""
+    """Return the base of a process that runs on this platform."""
     return process.Base(
         reactor=reactor,
         settings=settings,
@@ -29,14 +28,14 @@
 
 
 class Box(NamedTuple):
-    """A line of the platform's list of boxes.
+    """A row of the platform's list of boxes.
 
     Attributes:
       name: Name of the box.
       role: "entry" or "upstream".
       hall: Its data hall.
       peer: Address of its reelscale process.
-      leaving: Whether the platform is taking it away.
+      leaving: Whether the platform is removing it.
     """
 
     name: str
@@ -47,7 +46,7 @@
 
 
 class Platform:
-    """The platform's service, over HTTP."""
+    """HTTP client of the platform's service."""
 
     def __init__(self, *, reactor: Any, url: str) -> None:
         self.partitioned = False
@@ -61,7 +60,7 @@
         """Append records to the log.
 
         Returns:
-          The offset of the first.
+          The offset of the first record.
 
         Raises:
           CodedError: "log-down"; the records may have been appended.
@@ -71,7 +70,7 @@
         return data["offset"]
 
     async def read(self, from_offset: int, *, wait_s: float) -> base.Rows:
-        """Read records from an offset on, waiting for the first.
+        """Read records from an offset on, waiting for the first record.
 
         Raises:
           CodedError: "log-down".
@@ -87,7 +86,7 @@
         return base.Rows(rows, data["oldest"], data["head"])
 
     async def boxes(self) -> list[Box]:
-        """Read the list of boxes, which may be old.
+        """Read the list of boxes, which may be outdated.
 
         Raises:
           CodedError: "log-down".
@@ -106,7 +105,7 @@
     ) -> Any:
         try:
             if self.partitioned:
-                raise ConnectionError("cut")
+                raise ConnectionError("partitioned")
             answer = await self._http.request(
                 method, self._url + path, data=body, timeout=timeout_s
             )
--- a/packages/reelscale-daemon/src/reelscale_daemon/adapters/upstream.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/adapters/upstream.py
@@ -1,4 +1,4 @@
-"""Meets an upstream: a model engine or a plain service, over HTTP."""
+"""HTTP client of an upstream: a model engine or a plain service."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -17,10 +17,10 @@
 ORDER_TIMEOUT_S = 30.0
 EVENT_PREFIX = b"data:"
 EVENT_END = b"[DONE]"
-# A line of an event stream longer than this ends the stream.
-LONGEST_EVENT = 1 << 20
-# Hop-by-hop headers (RFC 9110, 7.6.1) and what the client sets itself.
-NOT_PASSED = frozenset(
+# A longer line ends the stream.
+MAX_EVENT_BYTES = 1 << 20
+# Hop-by-hop headers (RFC 9110, 7.6.1) and those set by the client.
+DROPPED_HEADERS = frozenset(
     (
         "authorization",
         "connection",
@@ -45,7 +45,7 @@
 
     @property
     def backoff_s(self) -> float | None:
-        """For how long the upstream wants no requests, in seconds, if so."""
+        """The back-off that the upstream asks for, in seconds, if any."""
         if self.status not in backoff.STATUSES:
             return None
         by_name = {name.lower(): value for name, value in self.headers}
@@ -53,13 +53,13 @@
 
 
 class Sink(NamedTuple):
-    """Where an answer goes.
+    """Callbacks that receive an answer.
 
     Attributes:
       head: Called once with the Head.
-      chunk: Called with each event's data, or each piece of a body.
-      end: Called once: "" when whole, else a code, and whether the
-        upstream is proved not to have run the request.
+      chunk: Called with the data of each event, or each chunk of a body.
+      end: Called once with a code, "" for a complete answer, and whether the
+        upstream provably did not run the request.
     """
 
     head: Callable[[Head], None]
@@ -69,14 +69,14 @@
 
 @implementer(iweb.IBodyProducer)
 class Body:
-    """A request body that is at hand as bytes."""
+    """A request body in memory."""
 
     def __init__(self, data: bytes) -> None:
         self.length = len(data)
         self._data = data
 
     def startProducing(self, consumer: Any) -> defer.Deferred:  # noqa: N802
-        """Write everything at once."""
+        """Write the complete body."""
         consumer.write(self._data)
         return defer.succeed(None)
 
@@ -91,17 +91,17 @@
 
 
 class Events(basic.LineOnlyReceiver):
-    """Reads server-sent events and gives on the data of each."""
+    """Parses server-sent events and forwards the data of each."""
 
     delimiter = b"\n"
-    MAX_LENGTH = LONGEST_EVENT
+    MAX_LENGTH = MAX_EVENT_BYTES
 
     def __init__(self, sink: Sink) -> None:
         self._sink = sink
         self._ended = False
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Take one line; only data lines matter."""
+        """Process one line; lines without data are ignored."""
         if not line.startswith(EVENT_PREFIX):
             return
         data = line[len(EVENT_PREFIX) :].strip()
@@ -111,56 +111,56 @@
             self._sink.chunk(data)
 
     def connectionLost(self, reason: Any = protocol.connectionDone) -> None:  # noqa: N802
-        """End: whole only if the end event was seen."""
+        """End the answer; it is complete after the end event only."""
         self._sink.end("" if self._ended else "upstream-lost", False)
 
 
-class Pieces(protocol.Protocol):
-    """Reads a plain body piece by piece."""
+class RawBody(protocol.Protocol):
+    """Forwards a plain body chunk by chunk."""
 
     def __init__(self, sink: Sink) -> None:
         self._sink = sink
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Give a piece on."""
+        """Forward a chunk."""
         self._sink.chunk(data)
 
     def connectionLost(self, reason: Any = protocol.connectionDone) -> None:  # noqa: N802
-        """End: whole only if the server said where the body ends."""
-        whole = reason.check(client.ResponseDone, client.PotentialDataLoss)
-        self._sink.end("" if whole else "upstream-lost", False)
+        """End the answer; the server must have delimited the body."""
+        complete = reason.check(client.ResponseDone, client.PotentialDataLoss)
+        self._sink.end("" if complete else "upstream-lost", False)
 
 
 class Exchange:
-    """One request to the upstream in progress."""
+    """A request to the upstream in progress."""
 
-    def __init__(self, asked: defer.Deferred) -> None:
-        self._asked = asked
+    def __init__(self, pending: defer.Deferred) -> None:
+        self._pending = pending
         self._body: protocol.Protocol | None = None
         self._paused = False
 
     def attach(self, body: protocol.Protocol) -> None:
-        """Note the protocol that reads the body."""
+        """Set the protocol that reads the body."""
         self._body = body
         if self._paused:
             body.transport.pauseProducing()
 
     def pause(self) -> None:
-        """Read no more for now, so that the upstream slows down."""
+        """Pause reading, which applies back-pressure to the upstream."""
         self._paused = True
         if self._body is not None and self._body.transport is not None:
             self._body.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         self._paused = False
         if self._body is not None and self._body.transport is not None:
             self._body.transport.resumeProducing()
 
     def stop(self) -> None:
-        """Give the request up; the upstream sees its caller leave."""
+        """Cancel the request by closing its connection."""
         if self._body is None:
-            self._asked.cancel()
+            self._pending.cancel()
         elif self._body.transport is not None:
             self._body.transport.loseConnection()
 
@@ -172,7 +172,7 @@
         self._url = url.rstrip("/").encode()
         pool = client.HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = 256
-        # A request that may have reached the upstream is never sent again.
+        # A retry could run a request twice.
         pool.retryAutomatically = False
         self._reactor = reactor
         self._agent = client.Agent(
@@ -189,33 +189,33 @@
         *,
         events: bool,
     ) -> Exchange:
-        """Send a request; its answer goes to the sink.
+        """Send a request; the sink receives its answer.
 
         Args:
           method: HTTP method.
           path: Path and query.
-          headers: Headers; those of a hop are left out.
+          headers: Headers; hop-by-hop headers are dropped.
           body: Request body.
-          sink: Where the answer goes.
-          events: Whether an event stream is cut into its events.
+          sink: Receives the answer.
+          events: Whether to split event streams into events.
         """
-        asked = self._agent.request(
+        pending = self._agent.request(
             method.encode(),
             self._url + path.encode(),
             _headers(headers),
             Body(body) if body else None,
         )
-        exchange = Exchange(asked)
+        exchange = Exchange(pending)
 
-        def answered(response: Any) -> None:
-            head = Head(response.code, _passed(response.headers))
+        def on_response(response: Any) -> None:
+            head = Head(response.code, _forwarded(response.headers))
             sink.head(head)
-            cut = events and _is_event_stream(response.headers)
-            reader = Events(sink) if cut else Pieces(sink)
+            split = events and _is_event_stream(response.headers)
+            reader = Events(sink) if split else RawBody(sink)
             response.deliverBody(reader)
             exchange.attach(reader)
 
-        def failed(reason: Any) -> None:
+        def on_failure(reason: Any) -> None:
             unsent = reason.check(
                 error.ConnectError, error.ConnectingCancelledError
             )
@@ -223,21 +223,21 @@
                 "upstream-refused" if unsent else "upstream-lost", bool(unsent)
             )
 
-        asked.addCallbacks(answered, failed)
+        pending.addCallbacks(on_response, on_failure)
         return exchange
 
     async def fetch(self, method: str, path: str, data: Any = None) -> Any:
-        """Ask for a small JSON document, as for load or an order.
+        """Send a request and return its JSON answer.
 
         Raises:
-          Exception: Of the HTTP client, or ValueError for bad JSON.
+          Exception: Of the HTTP client, or ValueError for invalid JSON.
         """
         body = Body(orjson.dumps(data)) if data is not None else None
-        asked = self._agent.request(
+        pending = self._agent.request(
             method.encode(), self._url + path.encode(), None, body
         )
-        asked.addTimeout(ORDER_TIMEOUT_S, self._reactor)
-        response = await asked
+        pending.addTimeout(ORDER_TIMEOUT_S, self._reactor)
+        response = await pending
         text = await client.readBody(response)
         if response.code != 200:
             raise ValueError(f"status {response.code} for {path}")
@@ -247,16 +247,16 @@
 def _headers(rows: list[tuple[str, str]]) -> http_headers.Headers:
     headers = http_headers.Headers()
     for name, value in rows:
-        if name.lower() not in NOT_PASSED:
+        if name.lower() not in DROPPED_HEADERS:
             headers.addRawHeader(name, value)
     return headers
 
 
-def _passed(headers: http_headers.Headers) -> tuple[tuple[str, str], ...]:
+def _forwarded(headers: http_headers.Headers) -> tuple[tuple[str, str], ...]:
     rows = []
     for name, values in headers.getAllRawHeaders():
         text = name.decode("latin-1")
-        if text.lower() in NOT_PASSED:
+        if text.lower() in DROPPED_HEADERS:
             continue
         rows += [(text, value.decode("latin-1")) for value in values]
     return tuple(rows)
--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/__init__.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""Plain HTTP/1.1 from this process to others: connections and a pool."""
+"""HTTP/1.1 client: connections, a pool and detection of dead connections."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/client.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/client.py
@@ -1,4 +1,4 @@
-"""Calls to one address, each answered in one piece."""
+"""HTTP client for one address; each call returns a complete answer."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -13,7 +13,7 @@
 
 
 class Client:
-    """Sends calls to one address."""
+    """HTTP client for one address."""
 
     def __init__(
         self, *, reactor: Any, connections: pool.Pool, address: str
@@ -32,15 +32,15 @@
         timeout_s: float,
         new_connection: bool = False,
     ) -> fetch.Response:
-        """Send a call; ExchangeError if it has no answer in time.
+        """Send a request; ExchangeError if there is no answer in time.
 
         Args:
           method: HTTP method.
           path: Path.
-          query: What stands behind the path.
-          body: The body; where there is one it is said to be JSON.
-          timeout_s: Seconds that the answer may take.
-          anew: Whether to take a new connection, see fetch.fetch().
+          query: Query parameters.
+          body: JSON body, empty for none.
+          timeout_s: Time-out of the whole exchange, in seconds.
+          new_connection: Whether to open a connection for it.
         """
         target = path
         if query:
--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/connection.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/connection.py
@@ -1,9 +1,8 @@
 """One HTTP/1.1 connection to another process, one request at a time.
 
-Framing is h11's; what this module adds is what a balancer must know of a
-broken exchange: whether anything was written, and whether an answer that
-ended was whole.  A connection on which anything unexpected arrives is never
-used again.
+h11 does the framing.  This module adds what a load balancer has to know of a
+failed exchange: whether the request was written and whether the answer was
+complete.  A connection that receives unexpected data is never reused.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -23,23 +22,21 @@
 
 Headers = Sequence[tuple[bytes, bytes]]
 
-# An answer that is read slower than it comes is held up to this many bytes
-# before the sender is paused.
+# Reading from the peer pauses when more of an answer is buffered.
 MAX_BUFFERED_BYTES = 64 * 1024
-# A peer that says nothing of how long it keeps an idle connection is taken
-# to keep it this long, in seconds; engines commonly keep them 5 s or more.
+# Assumed idle time-out of peers without a Keep-Alive header; engines commonly
+# use 5 s or more.
 DEFAULT_KEEP_ALIVE_S = 4.0
-# An idle connection is not used in the last part of the time its peer keeps
-# it, in seconds: the peer's close may already be on its way.
+# An idle connection is not reused this close to the peer's idle time-out,
+# since the peer may already be closing it.
 KEEP_ALIVE_MARGIN_S = 0.5
-# Bytes that were sent and not acknowledged for this many milliseconds end
-# the connection, so that a peer without power is noticed.
+# TCP_USER_TIMEOUT, to detect a peer that has lost power.
 UNACKNOWLEDGED_TIMEOUT_MS = 3000
-# Probes of a silent connection: after this many seconds, this often.
+# TCP keep-alive of an idle connection.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
-# The code of an exchange that ended because its connection was silent.
+# Error code of an exchange whose connection stopped responding.
 UNRESPONSIVE = "silent"
 _TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)", re.IGNORECASE)
 
@@ -50,8 +47,9 @@
     Attributes:
       method: HTTP method.
       path: Path and query, as bytes on the wire.
-      headers: Without those of the connection; "Host" must be among them.
-      body: The whole body.
+      headers: All headers except those of the connection; must include
+        "Host".
+      body: The complete body.
     """
 
     method: bytes
@@ -65,7 +63,7 @@
 
     Attributes:
       status: HTTP status.
-      headers: Names as the peer spelled them, with their values.
+      headers: Names, in the spelling of the peer, and values.
     """
 
     status: int
@@ -74,8 +72,8 @@
     def get(self, name: bytes) -> bytes | None:
         """Return the first value of a header, None if there is none."""
         name_lower = name.lower()
-        for found, value in self.headers:
-            if found.lower() == name_lower:
+        for key, value in self.headers:
+            if key.lower() == name_lower:
                 return value
         return None
 
@@ -86,7 +84,7 @@
     Attributes:
       code: "unreachable", "lost", "garbled" or "silent".
       peer: Address of the peer.
-      written: False if it is proved that the peer got nothing of it.
+      written: False if the peer provably received none of the request.
     """
 
     def __init__(self, code: str, *, peer: str, written: bool) -> None:
@@ -97,17 +95,17 @@
 
 
 class Connection(protocol.Protocol):
-    """A connection; made by a pool, used by one exchange at a time.
+    """A pooled connection, used by one exchange at a time.
 
     Attributes:
       address: "ip:port" of the peer.
-      opened_at: Monotonic seconds at which it was begun to be opened.
-      idle_since: Monotonic seconds at which it was last given back.
-      kept_s: How long the peer keeps it when idle, in seconds.
-      used: Exchanges that were begun on it.
-      watched: Whether an exchange ends if it is judged to be silent.
-      begun_at: Monotonic seconds at which the exchange began.
-      answering: Whether any byte has come since the exchange began.
+      opened_at: Monotonic seconds at which connecting began.
+      idle_since: Monotonic seconds at which it was last released.
+      keep_alive_s: Idle time-out of the peer, in seconds.
+      used: Number of exchanges begun on it.
+      watched: Whether the monitor may abort an unresponsive exchange.
+      started_at: Monotonic seconds at which the exchange began.
+      answer_started: Whether any byte of the answer was received.
     """
 
     def __init__(
@@ -139,7 +137,7 @@
         self._waiter: defer.Deferred | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send without delay, and notice a peer without power."""
+        """Set the socket options."""
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         handle = self.transport.getHandle()
@@ -155,15 +153,15 @@
     def usable(self) -> bool:
         """Whether another exchange may begin on it.
 
-        Not while a part of the last request is still to be sent, as when its
-        answer came early: the next one would wait behind it.
+        Not while unsent bytes remain of the last request, as after an early
+        answer: the next request would be delayed by them.
         """
         if self._busy or self._lost is not None:
             return False
         return not outgoing.unsent_bytes(self.transport)
 
     def send(self, request: Request) -> None:
-        """Write a request; its answer is read by head() and chunk()."""
+        """Write a request; head() and chunk() read its answer."""
         self._busy = True
         self.used += 1
         self.answer_started = False
@@ -187,20 +185,20 @@
         """Read the head of the answer.
 
         Raises:
-          ExchangeError: There is none, or it is none of HTTP.
+          ExchangeError: The connection failed, or the head is not valid HTTP.
         """
         event = await self._next()
         if not isinstance(event, h11.Response):
             raise self._garbled()
-        found = Head(event.status_code, event.headers.raw_items())
-        self._read_keep_alive(found)
-        return found
+        head = Head(event.status_code, event.headers.raw_items())
+        self._read_keep_alive(head)
+        return head
 
     async def chunk(self) -> bytes | None:
         """Read the next piece of the answer's body; None at its end.
 
         Raises:
-          ExchangeError: It ended before it was whole.
+          ExchangeError: The answer is incomplete or malformed.
         """
         event = await self._next()
         if isinstance(event, h11.Data):
@@ -212,14 +210,14 @@
         raise self._garbled()
 
     def abort(self, code: str = "lost") -> None:
-        """Close at once; the peer sees that its caller has gone."""
+        """Reset the connection; fail the exchange with a code."""
         if self._lost is None:
             self._fail(code)
         if self.transport is not None:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes; those that nothing asked for end the connection."""
+        """Process received bytes; abort if no exchange is in progress."""
         if self._lost is not None:
             return
         if not self._busy:
@@ -232,7 +230,7 @@
         self._feed(data)
 
     def connectionLost(self, reason: Any = protocol.connectionDone) -> None:  # noqa: N802
-        """Note the end; a clean one may end an answer without length."""
+        """Handle the close; a clean one ends an answer without a length."""
         if self._lost is None and reason.check(error.ConnectionDone):
             self._feed(b"")
         if self._lost is None:
@@ -240,17 +238,16 @@
         self._on_lost(self)
 
     def _start_watch(self) -> None:
-        """Judge after the allowance whether the exchange is silent."""
+        """Schedule the liveness check of the exchange."""
         first_byte_timeout_s = self._monitor.first_byte_timeout_s(self.address)
         self._watch = self._reactor.callLater(
             first_byte_timeout_s, self._schedule_check
         )
 
     def _schedule_check(self) -> None:
-        """Let the loop read what has come before the exchange is judged.
+        """Let the reactor read pending data before the check.
 
-        A process that stood still runs its timers first, with the answer
-        still unread.
+        After a stall of the process, timers run before the sockets are read.
         """
         self._watch = self._reactor.callLater(0, self._check_liveness)
 
@@ -314,7 +311,7 @@
         return self._events.popleft()
 
     def _finish(self) -> None:
-        """Get ready for another exchange, or close."""
+        """Prepare for another exchange, or abort the connection."""
         self._busy = False
         surplus, closed = self._http.trailing_data
         done = self._http.their_state is h11.DONE
@@ -326,9 +323,9 @@
 
     def _read_keep_alive(self, head: Head) -> None:
         header = head.get(b"keep-alive")
-        found = _TIMEOUT.search(header) if header else None
-        if found:
-            self.keep_alive_s = float(found.group(1))
+        match = _TIMEOUT.search(header) if header else None
+        if match:
+            self.keep_alive_s = float(match.group(1))
 
     def _fail(self, code: str) -> None:
         self._stop_watch()
--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/fetch.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/fetch.py
@@ -1,4 +1,4 @@
-"""Small requests of this process's own: one call, one whole answer."""
+"""Requests of this process itself, each with a complete answer."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -9,16 +9,16 @@
 
 from . import connection, pool
 
-# The largest answer that is taken, in bytes; a page of the log is 1 MB.
+# In bytes; a page of the log is 1 MB.
 MAX_ANSWER_BYTES = 8 << 20
 
 
 class Response(NamedTuple):
-    """A whole answer.
+    """A complete answer.
 
     Attributes:
-      head: Its status and headers.
-      body: Its body.
+      head: Status and headers.
+      body: The body.
     """
 
     head: connection.Head
@@ -34,23 +34,24 @@
     timeout_s: float,
     new_connection: bool = False,
 ) -> Response:
-    """Send a request and read its whole answer.
+    """Send a request and read its complete answer.
 
-    A request on a kept connection that breaks without an answer is not sent
-    again: the caller knows whether it may be.  If no byte of an answer came
-    in time, the connection may have gone silent, and so may the others to
-    that peer that were idle meanwhile: they are closed.
+    A request on a reused connection that breaks without an answer is not
+    retried, since only the caller knows whether it is idempotent.  If no byte
+    of an answer was received before the time-out, the connection may be dead,
+    and so may the other connections to the peer that were idle in the
+    meantime: they are closed.
 
     Args:
       connections: The pool.
       address: "ip:port" of the peer.
       request: The request.
-      reactor: The loop.
-      timeout_s: How long the whole may take.
-      anew: Whether a connection is opened for it.
+      reactor: The Twisted reactor.
+      timeout_s: Time-out of the whole exchange, in seconds.
+      new_connection: Whether to open a connection for it.
 
     Raises:
-      ExchangeError: No whole answer came; "timeout" after timeout_s.
+      ExchangeError: No complete answer; "timeout" after timeout_s.
     """
     used: list[connection.Connection] = []
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/hop.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/hop.py
@@ -1,4 +1,4 @@
-"""Headers of one connection, which do not go on (RFC 9110, 7.6.1)."""
+"""Removal of hop-by-hop headers (RFC 9110, 7.6.1)."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -7,7 +7,7 @@
 
 from . import connection
 
-# "content-length" and "expect" are those of our own exchange.
+# "content-length" and "expect" are set anew for each exchange.
 HOP = frozenset(
     (
         b"connection",
@@ -26,18 +26,18 @@
 
 
 def of_answer(headers: connection.Headers) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer that go on."""
+    """Return the headers of an answer that are forwarded."""
     return [row for row in headers if row[0].lower() not in HOP]
 
 
 def of_request(
     headers: Sequence[tuple[str, str]], *, own: Iterable[str]
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a request that go on, as bytes.
+    """Return the headers of a request that are forwarded, as bytes.
 
     Args:
-      headers: All that came.
-      own: Names, in lower case, that we set ourselves.
+      headers: All headers received.
+      own: Names, in lower case, of headers that this process sets itself.
     """
     rows = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in headers]
     left_out = {*(name.encode() for name in own), *_listed(rows)}
@@ -45,7 +45,7 @@
 
 
 def _listed(rows: Iterable[tuple[bytes, bytes]]) -> set[bytes]:
-    """Return the headers that the Connection header makes the hop's own."""
+    """Return the hop-by-hop headers that the Connection header lists."""
     return {
         token.strip().lower()
         for name, value in rows
--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/liveness.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/liveness.py
@@ -1,10 +1,9 @@
-"""Tells kept connections that have gone silent from slow peers.
+"""Detects dead connections and distinguishes them from slow peers.
 
-A connection may go silent for good without a reset, while new ones work, and
-the kernel's probes may still be answered.  All that is seen is that no answer
-begins; a peer that is slow, or stands still for a while, looks the same.  So
-one exchange with a peer is ended on suspicion, and others only once the peer
-has begun an answer on a connection that was opened after it.
+A connection may stop delivering data without a reset, while new connections
+work and TCP keep-alive probes are still answered.  A slow or stalled peer
+looks the same.  So only one exchange per peer is aborted on suspicion; others
+follow once the peer has answered on a connection opened after that.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -16,29 +15,25 @@
 
 from reelscale_core import clock
 
-# The first byte of an answer on a kept connection is waited for this long,
-# in seconds, before the connection may count as silent; clients wait as long
-# for one that takes no request.
+# Minimum time-out for the first byte of an answer on a reused connection.
 MIN_FIRST_BYTE_TIMEOUT_S = 1.0
-# A peer is given so many times what three in four of its latest answers took
-# to begin at most, if that is more.  The longest of all would let one answer
-# that was held up hide a silence.
+# The time-out is this multiple of the third quartile of a peer's recent
+# first-byte times; the maximum would let one outlier disable detection.
 LATENCY_FACTOR = 4.0
-# Answers of a peer that are remembered for that.
+# Number of first-byte times kept per peer.
 MAX_SAMPLES = 32
-# After a peer was seen to answer on a newer connection, older exchanges have
-# this long left, in seconds: one that stood still and goes on answers what it
-# got first at about the same time.
+# Grace period of older exchanges after a suspicion is confirmed: a peer that
+# resumes after a stall answers them at about the same time.
 CONFIRMATION_GRACE_S = 0.5
-# For so long after connections were found silent, in seconds, no exchange is
-# watched: of the idle connections only those that were heard since are left.
+# No exchange is watched for this long after a detection, which has closed
+# all idle connections without recent data.
 COOLDOWN_S = 5.0
-# A suspicion that nothing has borne out is dropped after this, in seconds.
+# An unconfirmed suspicion expires after this time.
 SUSPICION_EXPIRY_S = 10.0
 
 
 class Watched(Protocol):
-    """What is looked at of a connection, which carries one exchange."""
+    """The fields of a connection that the monitor reads."""
 
     address: str
     opened_at: float
@@ -46,11 +41,12 @@
 
 
 class Confirmation(NamedTuple):
-    """A suspicion that was borne out.
+    """A confirmed suspicion.
 
     Attributes:
-      suspected_at: When the connection was suspected, in monotonic seconds.
-      seen_at: When an answer began on one that was opened after that.
+      suspected_at: Monotonic seconds at which the connection was suspected.
+      confirmed_at: Monotonic seconds at which an answer began on a
+        connection opened after that.
     """
 
     suspected_at: float
@@ -58,17 +54,17 @@
 
 
 class Monitor:
-    """What a pool knows of the silence of its connections."""
+    """Liveness of the connections of a pool."""
 
     def __init__(
         self, *, clock: clock.Clock, on_unresponsive: Callable[[float], None]
     ) -> None:
-        """Make it.
+        """Create a monitor.
 
         Args:
-          clock: The time.
-          on_silent: Called when connections count as silent, with the time
-            since which nothing may have come on any.
+          clock: The clock.
+          on_unresponsive: Called when a dead connection is detected, with the
+            time since which others may be dead as well.
         """
         self._clock = clock
         self._on_unresponsive = on_unresponsive
@@ -78,22 +74,22 @@
         self._last_detected_at = float("-inf")
 
     def now(self) -> float:
-        """Return the time, in monotonic seconds."""
+        """Return the current time in monotonic seconds."""
         return self._clock.monotonic()
 
     @property
     def cooling_down(self) -> bool:
-        """Whether connections were found silent a moment ago."""
+        """Whether a dead connection was detected recently."""
         return self.now() < self._last_detected_at + COOLDOWN_S
 
     def first_byte_timeout_s(self, address: str) -> float:
-        """Return how long a peer's answer may take to begin."""
+        """Return the time-out for the first byte of a peer's answer."""
         samples_s = sorted(self._first_byte_s_by_address.get(address, (0.0,)))
         typical_s = samples_s[3 * (len(samples_s) - 1) // 4]
         return max(MIN_FIRST_BYTE_TIMEOUT_S, LATENCY_FACTOR * typical_s)
 
     def record_first_byte(self, conn: Watched) -> None:
-        """Note that an answer has begun."""
+        """Record that an answer has begun."""
         address = conn.address
         samples_s = self._first_byte_s_by_address.setdefault(
             address, collections.deque(maxlen=MAX_SAMPLES)
@@ -107,7 +103,7 @@
             )
 
     def should_abort(self, conn: Watched) -> bool:
-        """Tell whether an exchange in which nothing came is to be ended."""
+        """Return whether to abort an exchange without any answer so far."""
         now = self.now()
         address = conn.address
         confirmation = self._confirmation_by_address.get(address)
@@ -124,7 +120,7 @@
         return True
 
     def forget(self, address: str) -> None:
-        """Forget a peer to which no connection is open."""
+        """Drop the state of a peer without open connections."""
         for by_address in (
             self._first_byte_s_by_address,
             self._suspected_at,
--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/pool.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/pool.py
@@ -1,4 +1,4 @@
-"""Connections to other processes, kept and used again."""
+"""Pool of connections to other processes."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,13 +10,13 @@
 
 from . import connection, liveness
 
-# A peer in the same region that does not accept within this time, in
-# seconds, is taken as out of reach; a lost opening packet costs one second.
+# For peers in the same region; includes one retransmission of a lost SYN,
+# which takes 1 s.
 CONNECT_TIMEOUT_S = 1.5
 
 
 class Pool:
-    """The connections of one process, by the address of the peer."""
+    """The connections of one process, by peer address."""
 
     def __init__(self, *, reactor: Any, clock: clock.Clock) -> None:
         self._reactor = reactor
@@ -36,41 +36,40 @@
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
         watched: bool | None = None,
     ) -> connection.Connection:
-        """Return a connection for one exchange, opened if none is idle.
+        """Return an idle or a new connection for one exchange.
 
         Args:
           address: "ip:port" of the peer.
-          idle_most_s: Take no connection that was idle for longer.
-          connect_timeout_s: How long opening one may take.
-          watched: Whether the exchange ends when the connection seems to
-            have gone silent; only for what may be sent again.  By default
-            where idle_most_s is None, as callers that do not limit it say
-            that a broken exchange does no harm.
+          max_idle_s: Maximum idle time of a reused connection.
+          connect_timeout_s: Time-out for opening one.
+          watched: Whether the exchange is aborted if the connection seems
+            dead; only for idempotent requests.  True by default if max_idle_s
+            is None, which implies that the request may be retried.
 
         Raises:
-          ExchangeError: "unreachable"; the peer got nothing.
+          ExchangeError: "unreachable"; the peer received nothing.
         """
         kept = self._pop_idle(address, max_idle_s)
         if kept is not None:
-            requested = max_idle_s is None if watched is None else watched
-            kept.watched = requested and not self._monitor.cooling_down
+            watch = max_idle_s is None if watched is None else watched
+            kept.watched = watch and not self._monitor.cooling_down
             return kept
         return await self._open(address, connect_timeout_s)
 
     def release(self, conn: connection.Connection) -> None:
-        """Give a connection back; one that is of no use is forgotten."""
+        """Return a connection to the pool if it is usable."""
         if not conn.usable:
             return
         conn.idle_since = self._clock.monotonic()
         self._idle_by_address.setdefault(conn.address, []).append(conn)
 
     def close_idle(self, address: str) -> None:
-        """Close the idle connections to a peer, as when it leaves."""
+        """Close the idle connections to a peer."""
         for item in self._idle_by_address.pop(address, []):
             item.abort()
 
     def close_all_idle(self) -> int:
-        """Close all idle connections; return how many there were."""
+        """Close all idle connections; return their number."""
         idle = [c for rows in self._idle_by_address.values() for c in rows]
         self._idle_by_address.clear()
         for item in idle:
@@ -78,16 +77,16 @@
         return len(idle)
 
     def close_unresponsive(self, silent: connection.Connection) -> None:
-        """Close the idle connections to the peer of a silent one.
+        """Close the idle connections to the peer of a dead connection.
 
-        Those stay on which something came after its exchange had begun.
+        Connections that received data after its exchange began are kept.
         """
         self._close_idle_since(silent.address, silent.started_at)
 
     def _close_all_idle_since(self, since: float) -> None:
-        """Close the idle connections to all peers that were not heard since.
+        """Close all connections that have been idle since a time.
 
-        What silenced one connection may have silenced all that were open.
+        The cause that broke one connection may have broken all of them.
         """
         for address in list(self._idle_by_address):
             self._close_idle_since(address, since)
@@ -100,18 +99,18 @@
     def _pop_idle(
         self, address: str, max_idle_s: float | None
     ) -> connection.Connection | None:
-        """Return the idle connection that was used last, if one is fit."""
+        """Return the most recently used idle connection that is usable."""
         idle = self._idle_by_address.get(address, [])
         now = self._clock.monotonic()
         while idle:
-            found = idle.pop()
-            idle_s = now - found.idle_since
-            max_s = found.keep_alive_s - connection.KEEP_ALIVE_MARGIN_S
+            conn = idle.pop()
+            idle_s = now - conn.idle_since
+            max_s = conn.keep_alive_s - connection.KEEP_ALIVE_MARGIN_S
             if max_idle_s is not None:
                 max_s = min(max_s, max_idle_s)
-            if found.usable and idle_s < max_s:
-                return found
-            found.abort()
+            if conn.usable and idle_s < max_s:
+                return conn
+            conn.abort()
         return None
 
     async def _open(
@@ -139,7 +138,7 @@
         return conn
 
     def count(self, address: str) -> int:
-        """Return how many connections to a peer are open or opening."""
+        """Return the number of open or opening connections to a peer."""
         return self.open_by_address.get(address, 0)
 
     def _on_lost(self, closed: connection.Connection) -> None:
--- a/packages/reelscale-wire/src/reelscale_wire/closing.py
+++ b/packages/reelscale-wire/src/reelscale_wire/closing.py
@@ -1,9 +1,9 @@
 """Closes a connection in stages (RFC 9112, 9.6).
 
-A socket that is closed while the other side has sent more than was read
-resets the connection, and what the other side has not received yet is gone.
-So only our half is closed at first.  The rest follows once the other side's
-kernel has acknowledged everything, or the other side has closed its half.
+Closing a socket with unread data resets the connection, and the peer loses
+data that it has not received yet.  So only the sending half is closed at
+first.  The connection follows once the peer's kernel has acknowledged all
+data or the peer has closed its half.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -14,44 +14,41 @@
 
 from . import outgoing
 
-# How often a closing connection is looked at, in seconds: some round trips.
 POLL_INTERVAL_S = 0.05
-# Where the system does not tell what was acknowledged, the other side has
-# this long, in seconds, to close its half: some round trips, and little
-# beside a grace time.
+# Time for the peer to close its half where the system does not report
+# acknowledgements.
 LINGER_TIMEOUT_S = 0.5
-# A connection of which nothing more leaves for this long, in seconds, has no
-# reader any more and is reset.  The longest pause that TCP makes between
-# sending a lost packet again for the fifth and the sixth time is 6.4 s.
+# A connection without progress for this long is reset.  Exceeds the 6.4 s
+# between the fifth and the sixth retransmission of TCP.
 STALL_TIMEOUT_S = 15.0
 
 
 class StagedClose:
-    """The close of one connection; begins when it is made."""
+    """Closes one connection, from construction on."""
 
     def __init__(
         self, *, transport: Any, call_later: Callable[..., Any]
     ) -> None:
-        """Close our half once all that was written has left the process.
+        """Close the sending half once all written data is sent.
 
         Args:
-          transport: A TCP transport of twisted; its protocol has to drop
-            what comes from now on.
-          call_later: Schedules a call, as a reactor does.
+          transport: A TCP transport of Twisted; its protocol must discard
+            data received from now on.
+          call_later: Schedules a call, like callLater of a reactor.
         """
         self._transport = transport
         self._call_later = call_later
         self._pending = outgoing.pending_bytes(transport)
         self._idle_s = 0.0
-        # A paused producer would be asked for more in place of the close.
+        # With a paused producer, Twisted would resume it instead of closing.
         transport.unregisterProducer()
         transport.loseWriteConnection()
-        # The end of the other side shows only while we read.
+        # The close by the peer is only detected while reading.
         transport.resumeProducing()
         call_later(POLL_INTERVAL_S, self._poll)
 
     def _poll(self) -> None:
-        """Close the rest, reset a stalled connection, or look again."""
+        """Close or reset the connection, or poll again."""
         if not self._transport.connected:
             return
         before, self._pending = self._pending, self._pending_bytes()
@@ -69,6 +66,6 @@
         return outgoing.pending_bytes(self._transport)
 
     def _linger_expired(self) -> bool:
-        """Whether the wait is over where acknowledgements are unknown."""
+        """Return whether the wait without acknowledgements is over."""
         unknown = self._pending is None
         return unknown and self._idle_s >= LINGER_TIMEOUT_S
--- a/packages/reelscale-wire/src/reelscale_wire/datagram.py
+++ b/packages/reelscale-wire/src/reelscale_wire/datagram.py
@@ -1,4 +1,4 @@
-"""Messages that fit a datagram, in thrift's compact form."""
+"""Encoding of datagrams in Thrift's compact protocol."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -13,14 +13,14 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return a generated struct as bytes."""
+    """Encode a generated struct."""
     return TSerialization.serialize(message, _FACTORY)
 
 
 def decode(data: bytes, kind: type[Message]) -> Message | None:
-    """Read a generated struct; None if the bytes are none."""
+    """Decode a generated struct; None if the data is invalid."""
     try:
         return TSerialization.deserialize(kind(), data, _FACTORY)
     except Exception:
-        # Anybody may send a datagram; the decoder raises what it likes.
+        # Datagrams are untrusted; the decoder raises various exceptions.
         return None
--- a/packages/reelscale-wire/src/reelscale_wire/link.py
+++ b/packages/reelscale-wire/src/reelscale_wire/link.py
@@ -1,11 +1,12 @@
-"""One multiplexed connection to a peer, opened again when it breaks.
+"""Multiplexed connection to a peer, which reconnects on demand.
 
-Calls fail in one of two ways that a caller must tell apart: the message
-was never written to a socket, or it was and its answer is unknown.
+Calls fail in one of two ways that a caller must distinguish: the message was
+never written to a socket, or it was written and its answer is unknown.
 
-A connection may go silent for good without a reset, while new ones work.  So
-one on which a call had no answer, and nothing else was heard meanwhile, gets
-no more calls; what is in progress on it may still end.
+A connection may stop delivering data without a reset, while new connections
+work.  So a connection on which a call timed out and nothing else was received
+in the meantime is retired: it gets no more calls, but calls in progress may
+still complete.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -23,8 +24,7 @@
 from .gen import Peer
 
 CONNECT_TIMEOUT_S = 1.0
-# A connection on which nothing was sent or heard for longer than this many
-# seconds may have gone silent meanwhile; opening another takes some ms.
+# A connection that was idle for longer is replaced, as it may be dead.
 MAX_IDLE_S = 1.0
 CODEC = TCompactProtocol.TCompactProtocolAcceleratedFactory
 
@@ -35,8 +35,8 @@
     Attributes:
       peer: Address of the peer.
       step: Name of the call.
-      written: False if it is proved that the peer cannot have seen it.
-      refused: Whether nobody listens there: the peer's process is gone.
+      written: False if the peer provably did not receive it.
+      refused: Whether the connection was refused, as without a process.
     """
 
     def __init__(
@@ -50,19 +50,18 @@
 
 
 class ClientProtocol(TTwisted.ThriftClientProtocol):
-    """The calling side; sends small frames at once.
+    """Client side of a connection.
 
     Attributes:
-      heard_at: Time of the reactor at which an answer came last, or at which
-        the connection was made.
-      calls: Calls in progress on it.
+      received_at: Reactor time of the last answer, or of connecting.
+      calls: Number of calls in progress.
       retired: Whether it gets no more calls.
     """
 
     def __init__(
         self, *, reactor: IReactorTime, closed: Callable[[], None]
     ) -> None:
-        """Make a protocol that calls closed() when its connection ends."""
+        """Create a protocol that calls closed() when its connection ends."""
         super().__init__(Peer.Client, CODEC())
         self.received_at = 0.0
         self.calls = 0
@@ -71,23 +70,23 @@
         self._closed = closed
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Start the client and send without delay."""
+        """Start the client and disable Nagle's algorithm."""
         self.transport.setTcpNoDelay(True)
         self.received_at = self._reactor.seconds()
         super().connectionMade()
 
     def stringReceived(self, frame: bytes) -> None:  # noqa: N802
-        """Take an answer."""
+        """Process an answer."""
         self.received_at = self._reactor.seconds()
         super().stringReceived(frame)
 
     async def call(
         self, method: str, argument: Any, *, timeout_s: float
     ) -> Any:
-        """Call a method of the peer and return what it answers.
+        """Call a method of the peer and return its answer.
 
         Raises:
-          Exception: No answer came.
+          Exception: The call failed or timed out.
         """
         started_at = self._reactor.seconds()
         self.calls += 1
@@ -106,7 +105,7 @@
     def usable(self) -> bool:
         """Whether another call may be sent on it.
 
-        One that carries no call may have gone silent unnoticed.
+        An idle connection may have died unnoticed.
         """
         if self.retired:
             return False
@@ -114,7 +113,7 @@
         return self.calls > 0 or idle_s < MAX_IDLE_S
 
     def retire(self) -> None:
-        """Take no more calls; close once none is in progress."""
+        """Accept no more calls; close once none is in progress."""
         self.retired = True
         self._close_if_done()
 
@@ -129,41 +128,41 @@
 
 
 class ServerProtocol(TTwisted.ThriftServerProtocol):
-    """The answering side; sends small frames at once."""
+    """Server side of a connection."""
 
     def __init__(self) -> None:
         self._calls = 0
         self._closed = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Send without delay and keep track of the connection."""
+        """Disable Nagle's algorithm and register the connection."""
         self.transport.setTcpNoDelay(True)
         self.factory.connections.add(self)
         super().connectionMade()
 
     def connectionLost(self, reason: Any = protocol.connectionDone) -> None:  # noqa: N802
-        """Forget the connection."""
+        """Unregister the connection."""
         self.factory.connections.discard(self)
         super().connectionLost(reason)
 
     def stringReceived(self, frame: bytes) -> None:  # noqa: N802
-        """Begin a call, unless the connection is being closed."""
+        """Process a call, unless the connection is being closed."""
         if not self._closed:
             self._calls += 1
             super().stringReceived(frame)
 
     def processOk(self, _: Any, tmo: Any) -> None:  # noqa: N802
-        """Send an answer, unless the connection has gone meanwhile."""
+        """Send an answer, unless the connection was closed."""
         self._calls -= 1
         if self.connected:
             super().processOk(_, tmo)
             self.close_if_idle()
 
     def close_if_idle(self) -> None:
-        """Close a connection of a closing server once no call is open.
+        """Close the connection if the server is closing and no call is open.
 
-        In stages: a call of the peer that crosses the close would make a
-        reset of it, and the peer would lose answers that it has not read.
+        In stages: a call that crosses the close would cause a reset, and the
+        peer would lose answers that it has not read.
         """
         if self.factory.closing and not self._calls and not self._closed:
             self._closed = True
@@ -178,15 +177,15 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes written to the connection that have not left the process."""
+        """Number of written bytes that are buffered in this process."""
         return outgoing.unsent_bytes(self.transport)
 
 
 class Server(TTwisted.ThriftServerFactory):
-    """Answers peers by way of a handler with the methods of Peer.
+    """Serves peers by a handler with the methods of the Peer service.
 
     Attributes:
-      connections: The connections that are open.
+      connections: Open connections.
       closing: Whether connections are closed once no call is open on them.
     """
 
@@ -207,7 +206,7 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers that have not left the process."""
+        """Number of bytes of answers that are buffered in this process."""
         return sum(item.unsent_bytes for item in self.connections)
 
 
@@ -215,7 +214,7 @@
     """The connection to one peer."""
 
     def __init__(self, *, reactor: IReactorTime, address: str) -> None:
-        """Make a link to "ip:port"; it connects at the first call."""
+        """Create a link to "ip:port"; it connects on the first call."""
         self.address = address
         self.partitioned = False
         self._reactor = reactor
@@ -227,7 +226,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the connection stands."""
+        """Whether the connection is established."""
         return self._protocol is not None
 
     async def call(
@@ -237,11 +236,11 @@
 
         Args:
           method: Name of a method of the Peer service.
-          argument: Its one argument.
-          timeout_s: Seconds after which the answer counts as lost.
+          argument: Its only argument.
+          timeout_s: Time-out of the call, in seconds.
 
         Raises:
-          LinkError: No answer came; written tells what that means.
+          LinkError: The call failed; see its attributes.
         """
         self._drop_unusable()
         connection = self._protocol or await self._connect(method)
@@ -253,19 +252,19 @@
             ) from lost
 
     def set_partitioned(self, partitioned: bool) -> None:
-        """Cut the connection, or mend it; for tests of failures."""
+        """Simulate a network partition, or end it; for fault injection."""
         self.partitioned = partitioned
         if partitioned:
             self.close()
 
     def close(self) -> None:
-        """Close all its connections; the next call opens another."""
+        """Close all its connections; the next call reconnects."""
         for item in (self._protocol, *self._retired):
             if item is not None and item.transport:
                 item.transport.abortConnection()
 
     def _drop_unusable(self) -> None:
-        """Let go of a connection that may be silent."""
+        """Retire the connection if it may be dead."""
         old = self._protocol
         if old is not None and not old.usable:
             self._protocol = None
@@ -273,7 +272,7 @@
             old.retire()
 
     async def _connect(self, method: str) -> ClientProtocol:
-        """Join the attempt to connect in progress, or start one."""
+        """Wait for the connection attempt in progress, or start one."""
         waiter: defer.Deferred = defer.Deferred()
         self._waiting.append(waiter)
         if not self._connecting:
@@ -325,7 +324,7 @@
         self._partitioned: set[str] = set()
 
     def to(self, address: str) -> Link:
-        """Return the link to an address, made when first asked for."""
+        """Return the link to an address, created on first use."""
         link = self.by_address.get(address)
         if link is None:
             link = Link(reactor=self._reactor, address=address)
@@ -334,7 +333,7 @@
         return link
 
     def partition(self, addresses: set[str]) -> None:
-        """Cut the links to these addresses and mend all others."""
+        """Simulate a network partition from these addresses only."""
         self._partitioned = set(addresses)
         for address, link in self.by_address.items():
             link.set_partitioned(address in addresses)
--- a/packages/reelscale-wire/src/reelscale_wire/outgoing.py
+++ b/packages/reelscale-wire/src/reelscale_wire/outgoing.py
@@ -1,4 +1,4 @@
-"""What a connection still has to send, and to get acknowledged."""
+"""Counts of unsent and unacknowledged bytes of a connection."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -12,33 +12,33 @@
 
 
 def unsent_bytes(transport: Any) -> int:
-    """Return the bytes written to a connection that are still in the process.
+    """Return the number of written bytes that are buffered in this process.
 
     Args:
-      transport: A TCP transport of twisted, None once it has gone.
+      transport: A TCP transport of Twisted, None once closed.
     """
     if transport is None:
         return 0
-    # twisted keeps them in two buffers and has no public count of them.
+    # Twisted has two buffers and no public count of their bytes.
     buffered = len(transport.dataBuffer) - transport.offset
     return buffered + transport._tempDataLen
 
 
 def pending_bytes(transport: Any) -> int | None:
-    """Return the bytes that the other side has not acknowledged.
+    """Return the number of bytes that the peer has not acknowledged.
 
-    Those that are still in the process are among them, and so is the end of
-    our half.  None if the system does not tell; then none is in the process.
+    This includes bytes buffered in this process and the FIN.  None if the
+    system does not report it; then no bytes are buffered in this process.
 
     Args:
-      transport: A TCP transport of twisted, None once it has gone.
+      transport: A TCP transport of Twisted, None once closed.
     """
     unsent = unsent_bytes(transport)
     if unsent or transport is None:
         return unsent
     try:
         # tcp(7): the count of bytes in the send queue (SIOCOUTQ).
-        told = fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, bytes(4))
+        queued = fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, bytes(4))
     except (OSError, ValueError):
         return None
-    return _INT.unpack(told)[0]
+    return _INT.unpack(queued)[0]
