--- a/packages/reelscale-core/src/reelscale_core/address.py
+++ b/packages/reelscale-core/src/reelscale_core/address.py
@@ -1,4 +1,4 @@
-"""Addresses of processes, as others tell them."""
+"""Validates addresses received from other processes."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -6,19 +6,21 @@
 import ipaddress
 
 MAX_PORT = 65535
-PORT_DIGITS = 5
+MAX_PORT_DIGITS = 5
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is "ip:port" with an IPv4 address and a port."""
+    """Return whether a text is "ip:port" with an IPv4 address."""
     host, _, port = text.rpartition(":")
-    if not (port.isascii() and port.isdigit() and len(port) <= PORT_DIGITS):
+    if not (
+        port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
+    ):
         return False
     return is_host(host) and 0 < int(port) <= MAX_PORT
 
 
 def is_host(text: str) -> bool:
-    """Tell whether a text is an IPv4 address."""
+    """Return whether a text is an IPv4 address."""
     try:
         ipaddress.IPv4Address(text)
     except ValueError:
--- a/packages/reelscale-core/src/reelscale_core/change.py
+++ b/packages/reelscale-core/src/reelscale_core/change.py
@@ -1,4 +1,4 @@
-"""The changes that an intent is made of, as data classes."""
+"""The changes of the configuration that an intent consists of."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -39,13 +39,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Remove:
-    """Take an object out of the configuration.
+    """Remove an object from the configuration.
 
     Attributes:
       kind: "workspace", "service", "group" or "upstream".
       name: Its name.
-      fenced: The operator states that the upstream's box is off, so that
-        it cannot run requests any more.
+      fenced: Whether the operator states that the upstream's box is off
+        and cannot run requests.
     """
 
     kind: str
@@ -55,14 +55,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Leave:
-    """Let an upstream finish its work and get no more."""
+    """Drain an upstream: it finishes its requests and gets no new ones."""
 
     upstream: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SetRole:
-    """Give an upstream another role."""
+    """Change the role of an upstream."""
 
     upstream: str
     role: str
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SetLayout:
-    """Bring a group onto another layout, in one step for all ranks."""
+    """Change the layout of a group, at the same step for all ranks."""
 
     group: str
     layout: model.Layout
@@ -89,7 +89,7 @@
 
 
 def touched(change: Change) -> str:
-    """Return the key of the object that a change touches."""
+    """Return the key, "kind/name", of the object that a change affects."""
     match change:
         case PutWorkspace(workspace=put):
             return f"workspace/{put.name}"
@@ -134,7 +134,7 @@
     """Build a change from checked JSON data.
 
     Raises:
-      ValueError: The kind is unknown, from a newer writer perhaps.
+      ValueError: The kind is unknown, as a newer writer may have added it.
     """
     rest = {key: value for key, value in data.items() if key != "kind"}
     match data["kind"]:
--- a/packages/reelscale-core/src/reelscale_core/clock.py
+++ b/packages/reelscale-core/src/reelscale_core/clock.py
@@ -1,8 +1,8 @@
-"""The clock as an interface, so that every decision can be replayed.
+"""The clock as an interface, so that decisions can be replayed.
 
-Ages stand for time outside the process: a lease runs on, and a caller waits
-on, while this machine is suspended.  So they are measured by a clock that
-counts a suspension; one that stands still meanwhile shows that there was one.
+Leases expire and callers wait while this machine is suspended, so ages are
+measured by a clock that includes suspensions.  A second clock that excludes
+them is used to detect suspensions.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -13,10 +13,10 @@
 
 
 class Clock(Protocol):
-    """Tells time; instants are seconds as float.
+    """A source of time; instants are seconds as float.
 
     Attributes:
-      counts_suspensions: Whether monotonic() goes on during one.
+      counts_suspensions: Whether monotonic() includes suspensions.
     """
 
     counts_suspensions: bool
@@ -24,32 +24,31 @@
     def monotonic(self) -> float:
         """Return seconds on a clock that never steps back.
 
-        It goes on while the machine is suspended, if the platform has such
-        a clock.
+        It includes suspensions if the operating system has such a clock.
         """
         ...
 
     def running(self) -> float:
-        """Return seconds for which the machine has not been suspended."""
+        """Return seconds without suspensions."""
         ...
 
     def wall(self) -> float:
-        """Return seconds since the Unix epoch; may step."""
+        """Return Unix time in seconds; may step."""
         ...
 
 
 def _counting_clock() -> int:
     """Return the id of a clock that counts suspensions, if there is one.
 
-    Without one, ages are too small after a suspension; that there was one is
-    then seen by the time of day alone (see suspension.py).
+    Without one, ages exclude suspensions, which are then detected by the time
+    of day alone; see suspension.py.
     """
-    wanted = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+    clock_id = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
     try:
-        time.clock_gettime(wanted)
+        time.clock_gettime(clock_id)
     except OSError:
         return time.CLOCK_MONOTONIC
-    return wanted
+    return clock_id
 
 
 _COUNTING = _counting_clock()
@@ -61,20 +60,20 @@
     counts_suspensions = _COUNTING != time.CLOCK_MONOTONIC
 
     def monotonic(self) -> float:
-        """Return the machine's time in seconds, suspensions included."""
+        """Return seconds, including suspensions if possible."""
         return time.clock_gettime(_COUNTING)
 
     def running(self) -> float:
-        """Return the seconds for which the machine has been running."""
+        """Return seconds without suspensions."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return the machine's Unix time in seconds."""
+        """Return Unix time in seconds."""
         return time.time()
 
 
 class FakeClock:
-    """A clock that moves only when it is told to, for replay."""
+    """A manually advanced clock for tests and replay."""
 
     def __init__(
         self, *, start: float = 0.0, counts_suspensions: bool = True
@@ -84,22 +83,22 @@
         self._suspended_s = 0.0
 
     def monotonic(self) -> float:
-        """Return the time set so far, in seconds."""
+        """Return the current time, without suspensions if not counted."""
         return self.now if self.counts_suspensions else self.running()
 
     def running(self) -> float:
-        """Return the time set so far without suspensions, in seconds."""
+        """Return the current time without suspensions."""
         return self.now - self._suspended_s
 
     def wall(self) -> float:
-        """Return the time set so far, in seconds."""
+        """Return the current time."""
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock forward by seconds."""
+        """Advance the clock."""
         self.now += seconds
 
     def suspend(self, seconds: float) -> None:
-        """Have the machine be suspended for seconds."""
+        """Simulate a suspension of the machine."""
         self.now += seconds
         self._suspended_s += seconds
--- a/packages/reelscale-core/src/reelscale_core/error.py
+++ b/packages/reelscale-core/src/reelscale_core/error.py
@@ -1,4 +1,4 @@
-"""Errors with a stable code, the step and the peer at which they arose."""
+"""Errors with a stable code, a processing step and a peer."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -11,11 +11,11 @@
 
 
 class Fault(NamedTuple):
-    """One thing wrong in a document, with its place.
+    """A fault in a document.
 
     Attributes:
-      path: JSON-pointer-like path in the document, "/" for its root.
-      expected: What was expected there, in words.
+      path: JSON-pointer-like path in the document; "/" for its root.
+      expected: Description of the expected value.
     """
 
     path: str
@@ -23,17 +23,17 @@
 
 
 class CodedError(Exception):
-    """An error that a program can tell by its code.
+    """An error that programs identify by its code.
 
     Attributes:
       code: Stable, kebab-case name of the error.
-      step: The step of the work at which it arose, such as "route".
-      peer: The peer concerned, empty when there is none.
-      detail: A sentence for people.
-      status: The HTTP status that a caller sees.
-      retry_after_s: Seconds after which asking again makes sense.
+      step: The processing step that failed, such as "route".
+      peer: Name or address of the peer, empty if none.
+      detail: Description for operators and callers.
+      status: HTTP status for the caller.
+      retry_after_s: Seconds after which a retry makes sense.
       outcome: Whether the request ran; one of the OUTCOME constants.
-      faults: Everything wrong, where a document was refused.
+      faults: All faults of a refused document.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
 
     def __str__(self) -> str:
         """Return one line: code, step, peer and detail."""
-        place = f" at {self.peer}" if self.peer else ""
-        lines = [f"{self.code} in {self.step}{place}: {self.detail}"]
+        location = f" at {self.peer}" if self.peer else ""
+        lines = [f"{self.code} in {self.step}{location}: {self.detail}"]
         lines += [f"{f.path}: expected {f.expected}" for f in self.faults]
         return "; ".join(lines)
--- a/packages/reelscale-core/src/reelscale_core/lease.py
+++ b/packages/reelscale-core/src/reelscale_core/lease.py
@@ -1,8 +1,8 @@
-"""Leases in the log: when a holder may act and when others may claim.
+"""Leases in the log: until when a holder may act, from when others may claim.
 
-The holder counts from before it asked; everybody else counts from when
-they read the claim, and adds the drift that clocks may have.  So the
-holder always stops before another may start.
+A holder measures the validity from before its request; all others from when
+they read the claim, plus the maximum drift of clocks.  So a holder always
+stops before another may claim.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -12,19 +12,19 @@
 
 from . import state
 
-# Clocks of two boxes may drift apart by this fraction.
-DRIFT = 0.05
-# A holder stops this much before its lease lapses.
+# As a fraction of the elapsed time, between the clocks of two boxes.
+MAX_DRIFT = 0.05
+# A holder stops this long before its lease expires.
 MARGIN_S = 0.2
 
 
 class Held(NamedTuple):
-    """A lease as its holder sees it.
+    """A lease from the view of its holder.
 
     Attributes:
-      name: What is held.
-      fence: Offset of the claim; orders carry it.
-      until: Monotonic seconds at which it lapses.
+      name: Name of the lease.
+      fence: Offset of the claim, sent with each order.
+      until: Monotonic seconds at which it expires.
     """
 
     name: str
@@ -35,16 +35,16 @@
 def held(
     name: str, lease: state.Lease, *, claim_id: str, requested_at: float
 ) -> Held | None:
-    """Return the holder's view of a lease, if its claim was accepted.
+    """Return the lease if the claim was accepted.
 
     Args:
-      name: What is claimed.
-      lease: The newest accepted claim, as folded.
-      claim_id: Id of the own claim.
+      name: Name of the lease.
+      lease: The newest accepted claim.
+      claim_id: Id of the local claim.
       requested_at: Monotonic seconds just before the claim was appended.
 
     Returns:
-      The lease held, or None when another claim won.
+      The held lease; None if another claim was accepted.
     """
     if lease.id != claim_id:
         return None
@@ -52,20 +52,20 @@
 
 
 def usable(lease: Held, now: float) -> bool:
-    """Tell whether the holder may send another order now."""
+    """Return whether the holder may still send an order."""
     return now < lease.until - MARGIN_S
 
 
 def claimable(
     lease: state.Lease | None, *, read_at: float, now: float
 ) -> bool:
-    """Tell whether another may claim.
+    """Return whether another process may claim the lease.
 
     Args:
       lease: The newest accepted claim, if any.
       read_at: Monotonic seconds at which this process read that claim.
-      now: Monotonic seconds.
+      now: Current monotonic seconds.
     """
     if lease is None:
         return True
-    return now >= read_at + lease.ttl_ms / 1000 * (1 + DRIFT)
+    return now >= read_at + lease.ttl_ms / 1000 * (1 + MAX_DRIFT)
--- a/packages/reelscale-core/src/reelscale_core/model.py
+++ b/packages/reelscale-core/src/reelscale_core/model.py
@@ -1,4 +1,4 @@
-"""The objects that operators configure, as immutable tuples."""
+"""The objects of the configuration, as named tuples."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,15 +10,15 @@
 
 
 class Workspace(NamedTuple):
-    """A customer with its limits.
+    """A workspace with its credentials and limits.
 
     Attributes:
       name: Unique name.
-      key_digests: SHA-256, hex, of its bearer keys; never a key itself.
+      key_digests: SHA-256, hex, of its bearer keys.
       targets: Names of the groups and services it may call.
       weight: Share of capacity relative to other workspaces.
-      max_running: Requests it may have in progress at one entry.
-      priority: Class of requests that carry no priority; 0 most urgent.
+      max_running: Maximum requests in progress at one entry.
+      priority: Default class of its requests; 0 is the most urgent.
     """
 
     name: str
@@ -30,12 +30,12 @@
 
 
 class Engine(NamedTuple):
-    """How the engine of a group steps.
+    """The step times of an engine.
 
     Attributes:
-      steps: Token steps in a pass.
-      step_s: What a step takes without any request, in seconds; 0 if that is
-        not known, or there is no engine.
+      steps: Token steps per pass.
+      step_s: Duration of a step without requests, in seconds; 0 if it is
+        unknown or there is no engine.
     """
 
     steps: int = 1
@@ -43,19 +43,19 @@
 
     @property
     def fixed_s(self) -> float:
-        """What a pass takes without any request, in seconds."""
+        """The duration of a pass without requests, in seconds."""
         return self.steps * self.step_s
 
 
 class Service(NamedTuple):
-    """A plain service.
+    """A service whose upstreams are independent of each other.
 
     Attributes:
       name: Unique name.
-      once_paths: Path prefixes whose calls must not be repeated.
-      max_connections: Most connections that one of its upstreams takes
-        from all callers together, 0 if that is not known.
-      engine: How its engine steps, if it has one.
+      once_paths: Path prefixes of requests that must not be retried.
+      max_connections: Maximum connections of one upstream from all callers
+        together; 0 if unknown.
+      engine: Step times of its engine, if any.
     """
 
     name: str
@@ -65,13 +65,13 @@
 
 
 class Layout(NamedTuple):
-    """What all ranks of a group use in a step.
+    """The placement and model that all ranks of a group use in a step.
 
     Attributes:
-      version: Rises with every change; 0 before the first.
+      version: Increases with every change; 0 before the first.
       model_version: Version of the model that the ranks load.
       experts_by_slot: Expert held in each slot, by layer, then slot;
-        rank r holds slots [r * n, (r + 1) * n) with n slots a rank.
+        rank r holds slots [r * n, (r + 1) * n) with n slots per rank.
     """
 
     version: int = 0
@@ -85,11 +85,11 @@
     Attributes:
       name: Unique name, also the model name that callers give.
       ranks: Number of ranks.
-      experts: Experts a layer.
+      experts: Experts per layer.
       slots_per_rank: Experts that a rank holds in each layer.
       skew_weight: Weight of step-time skew in rebalancing, 0 to 1.
-      layout: The layout in force or being brought into force.
-      earlier: The layouts before it that ranks may still be on.
+      layout: The current layout, which ranks may still be changing to.
+      earlier: Previous layouts that ranks may still use.
     """
 
     name: str
@@ -102,7 +102,7 @@
 
 
 class Upstream(NamedTuple):
-    """A back end that requests go to, behind its agent.
+    """An upstream behind its agent.
 
     Attributes:
       name: Unique name.
@@ -110,7 +110,7 @@
       hall: Name of its data hall.
       agent: Address of its agent, "ip:port".
       role: One of ROLES; only "serve" gets requests.
-      leaving: Whether an operator has asked it to leave.
+      leaving: Whether it is draining on an operator's request.
       first_rank: First of its ranks in the group, for groups.
       ranks: Number of its ranks, for groups.
     """
@@ -130,14 +130,14 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def to_json(thing: Any) -> dict[str, Any]:
+def to_json(item: Any) -> dict[str, Any]:
     """Return one of this module's tuples as plain JSON data."""
-    fields = thing._asdict()
-    if isinstance(thing, Service):
-        fields["engine"] = list(thing.engine)
-    if isinstance(thing, Group):
-        fields["layout"] = to_json(thing.layout)
-        fields["earlier"] = [to_json(item) for item in thing.earlier]
+    fields = item._asdict()
+    if isinstance(item, Service):
+        fields["engine"] = list(item.engine)
+    if isinstance(item, Group):
+        fields["layout"] = to_json(item.layout)
+        fields["earlier"] = [to_json(layout) for layout in item.earlier]
     return fields
 
 
@@ -157,11 +157,11 @@
 def service(data: dict[str, Any]) -> Service:
     """Build a Service from checked JSON data."""
     paths = tuple(data.get("once_paths", ()))
-    most = data.get("max_connections", 0)
+    max_connections = data.get("max_connections", 0)
     return Service(
         name=data["name"],
         once_paths=paths,
-        max_connections=most,
+        max_connections=max_connections,
         engine=Engine(*data.get("engine", ())),
     )
 
--- a/packages/reelscale-core/src/reelscale_core/plan.py
+++ b/packages/reelscale-core/src/reelscale_core/plan.py
@@ -1,4 +1,4 @@
-"""Turns an operator's intent into a plan with its diff and its cost."""
+"""Builds a plan, with its diff and cost, from an operator's intent."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -12,22 +12,22 @@
 from .state import Slices, State, members
 
 INTENT_SCHEMA = schema.load("reelscale_core", "intent.schema.json")
-# Experts that a rebalance may load at most, as a fraction of all slots.
+# Maximum experts that a rebalance loads, as a fraction of all slots.
 MOVE_BUDGET = 0.25
-# Weights of one expert in one layer, where a group does not say.
+# Assumed size of the weights of one expert in one layer.
 BYTES_PER_EXPERT = 44_000_000
 
 
 class Plan(NamedTuple):
-    """What an operator is asked to confirm.
+    """A plan for an operator to confirm.
 
     Attributes:
-      record: The plan as it goes into the log.
-      diff: One line a change, "+", "-" or "~" first.
-      costs_by_group: What each new layout gains and costs.
-      bytes_moved: Weights that ranks have to load.
-      affected: Upstreams whose requests are touched.
-      destructive: Whether something is taken away.
+      record: The plan's record for the log.
+      diff: One line per change, starting with "+", "-" or "~".
+      costs_by_group: Gain and cost of each new layout.
+      bytes_moved: Size of the weights that ranks load.
+      affected: Upstreams whose requests are affected.
+      destructive: Whether it removes an object or capacity.
     """
 
     record: record.PlanRecord
@@ -39,14 +39,14 @@
 
 
 class Rebalanced(NamedTuple):
-    """A layout chosen for a group, and what it gains and costs."""
+    """A layout chosen for a group, with its gain and cost."""
 
     layout: model.Layout
     cost: placement.Cost
 
 
 class Draft(NamedTuple):
-    """An intent checked and turned into changes, before its cost."""
+    """The changes of a checked intent."""
 
     changes: tuple[change.Change, ...]
     costs_by_group: dict[str, placement.Cost]
@@ -60,24 +60,24 @@
     nonce: str,
     rebalanced_by_group: Mapping[str, Rebalanced],
 ) -> Plan:
-    """Make a plan on a state.
+    """Build a plan based on a state.
 
     Args:
-      state: The configuration as folded.
-      intent: The operator's decoded JSON.
+      state: The folded configuration.
+      intent: The operator's intent as decoded JSON.
       author: Name of the operator's credential.
-      nonce: What tells this plan from others of the same intent.
-      rebalanced_by_group: What rebalance made for groups that it names.
+      nonce: Distinguishes plans of the same intent.
+      rebalanced_by_group: Results of rebalance for groups in the intent.
 
     Raises:
-      CodedError: "bad-document" with all faults, or "refused".
+      CodedError: "bad-document" with all faults, "no-load" or "refused".
     """
     schema.check(intent, INTENT_SCHEMA, step="plan")
     draft = _draft(state, intent["changes"], rebalanced_by_group)
-    wrong = fold.problem(state, draft.changes)
-    if wrong:
+    reason = fold.problem(state, draft.changes)
+    if reason:
         raise error.CodedError(
-            "refused", step="plan", status=409, detail=wrong
+            "refused", step="plan", status=409, detail=reason
         )
     item = record.PlanRecord(
         id=_plan_id(state, intent, nonce),
@@ -97,7 +97,7 @@
 
 
 def groups_to_rebalance(state: State, intent: Any) -> list[model.Group]:
-    """Return the groups that an intent, checked or not, rebalances."""
+    """Return the groups that an intent rebalances; it may be unchecked."""
     try:
         names = [
             row["group"]
@@ -120,7 +120,7 @@
     items: Sequence[dict[str, Any]],
     rebalanced_by_group: Mapping[str, Rebalanced],
 ) -> Draft:
-    """Expand what an intent leaves to the system."""
+    """Expand an intent into changes."""
     changes: list[change.Change] = []
     costs: dict[str, placement.Cost] = {}
     for item in items:
@@ -136,10 +136,12 @@
                 )
             case "rebalance":
                 group = _group(state, item["group"])
-                made = _rebalanced(group, rebalanced_by_group)
-                costs[group.name] = made.cost
+                rebalanced = _rebalanced(group, rebalanced_by_group)
+                costs[group.name] = rebalanced.cost
                 changes.append(
-                    change.SetLayout(group=group.name, layout=made.layout)
+                    change.SetLayout(
+                        group=group.name, layout=rebalanced.layout
+                    )
                 )
             case "put-group":
                 changes += _put_group(state, item)
@@ -151,9 +153,12 @@
 def _rebalanced(
     group: model.Group, rebalanced_by_group: Mapping[str, Rebalanced]
 ) -> Rebalanced:
-    """Return what was made for a group, if it is still of use."""
-    made = rebalanced_by_group.get(group.name)
-    if made is None or made.layout.version != group.layout.version + 1:
+    """Return the result for a group; "no-load" without a current one."""
+    rebalanced = rebalanced_by_group.get(group.name)
+    if (
+        rebalanced is None
+        or rebalanced.layout.version != group.layout.version + 1
+    ):
         raise error.CodedError(
             "no-load",
             step="plan",
@@ -161,16 +166,16 @@
             status=409,
             detail="no expert load has been reported for the group yet",
         )
-    return made
+    return rebalanced
 
 
 def rebalance(
     group: model.Group, loads_by_layer: Sequence[Sequence[float]]
 ) -> Slices[Rebalanced | None]:
-    """Choose a layout from the load of a group's experts, in slices.
+    """Choose a layout by the load of a group's experts, in slices.
 
     Returns:
-      The layout and its cost; None without a load for each layer.
+      The layout and its cost; None unless each layer has a load.
     """
     old = group.layout.experts_by_slot
     if len(loads_by_layer) != len(old) or not old:
@@ -196,7 +201,7 @@
 def _rebalance_layer(
     group: model.Group, slots: Sequence[int], loads: Sequence[float]
 ) -> Slices[tuple[tuple[int, ...], placement.Cost]]:
-    """Choose the placement of one layer and tell what it costs."""
+    """Choose the placement of one layer and return it with its cost."""
     layer = placement.Layer(tuple(slots), tuple(loads), group.slots_per_rank)
     budget = max(2, int(len(slots) * MOVE_BUDGET))
     best = layer.slots
@@ -216,7 +221,7 @@
 
 
 def _put_group(state: State, item: dict[str, Any]) -> list[change.Change]:
-    """Create a group; a new one starts on an even layout."""
+    """Create or replace a group; a new one gets a uniform layout."""
     put = change.from_json(item)
     group = put.group
     changes: list[change.Change] = [put]
@@ -271,7 +276,7 @@
 def _affected(
     state: State, changes: Sequence[change.Change]
 ) -> tuple[str, ...]:
-    """List the upstreams whose requests a plan touches."""
+    """Return the upstreams whose requests a plan affects."""
     names: set[str] = set()
     for item in changes:
         match item:
--- a/packages/reelscale-core/src/reelscale_core/record.py
+++ b/packages/reelscale-core/src/reelscale_core/record.py
@@ -1,4 +1,4 @@
-"""The records that reelscale keeps in the platform's log."""
+"""The records of reelscale in the platform's log."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -15,8 +15,8 @@
 
     Attributes:
       id: Unique id of the plan.
-      base: Offset of the state that the plan was made on.
-      changes: What it will do once confirmed.
+      base: Offset of the state that the plan is based on.
+      changes: Changes to apply once it is confirmed.
       author: Name of the operator's credential.
     """
 
@@ -28,10 +28,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ConfirmRecord:
-    """An operator's confirmation; repeats of it do no harm.
+    """An operator's confirmation of a plan; repeats have no effect.
 
     Attributes:
-      plan: Id of the plan confirmed.
+      plan: Id of the plan.
     """
 
     plan: str
@@ -39,15 +39,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LeaseRecord:
-    """A claim to be the only holder of a name for a while.
+    """A claim of the lease of a name.
 
     Attributes:
-      id: Unique id of this claim, to find it when its answer was lost.
-      name: What is claimed, such as "group/g1".
+      id: Unique id of the claim, to find it if the append got no answer.
+      name: Name of the lease, such as "group/g1".
       holder: Name and incarnation of the claimant.
-      ttl_ms: How long the claim holds from when it was asked for.
-      replaces: Offset of the claim that the claimant saw lapse or
-        renews itself; 0 for the first.
+      ttl_ms: Validity, from when the claim was requested.
+      replaces: Offset of the expired claim, or of the claimant's own claim
+        that it renews; 0 for the first.
     """
 
     id: str
@@ -59,14 +59,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SnapshotRecord:
-    """A part of the whole state, for readers that start late.
+    """A part of a snapshot of the state, for readers that start later.
 
     Attributes:
-      id: The same for all parts of one snapshot.
+      id: Id of the snapshot, the same in all parts.
       at: Offset up to which the state is folded.
       part: Index of this part.
       parts: Number of parts.
-      digest: Digest of all parts joined, in each part.
+      digest: Digest of all parts joined.
       data: Text of this part.
     """
 
@@ -80,12 +80,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class FullConfigRecord:
-    """A whole configuration, accepted already, in place of the one before.
+    """A full, accepted configuration that replaces the one before.
 
-    Written where operators state all they want at once instead of intents.
+    Written on platforms where operators state the full configuration instead
+    of intents.
 
     Attributes:
-      version: Rises with every one; a lower one is not taken.
+      version: Increases with every record; a lower one is ignored.
       workspaces: Workspaces as JSON data.
       services: Plain services as JSON data.
       routes: Routes as JSON data.
@@ -135,18 +136,18 @@
     """Build a record from JSON data of the log.
 
     Returns:
-      The record, or None for anything that is no record of ours: one bad
-      record must not stop the readers, and all readers skip the same.
+      The record; None for data that is no valid record, which all readers
+      skip alike.
     """
     try:
-        made = _build(data)
+        record = _build(data)
     except (AttributeError, KeyError, TypeError, ValueError):
         return None
-    return made if made is not None and _well_typed(made) else None
+    return record if record is not None and _well_typed(record) else None
 
 
 def _build(data: Any) -> Record | None:
-    """Build a record of whatever types the data has."""
+    """Build a record without checking the types of its fields."""
     rest = {key: value for key, value in data.items() if key != "kind"}
     match data["kind"]:
         case "plan":
@@ -166,7 +167,7 @@
 
 
 def _well_typed(item: Record) -> bool:
-    """Tell whether the fields of a record have the types they should."""
+    """Return whether the fields of a record have the declared types."""
     return all(
         isinstance(getattr(item, field.name), _CLASSES[field.type])
         for field in dataclasses.fields(item)
--- a/packages/reelscale-core/src/reelscale_core/rendezvous.py
+++ b/packages/reelscale-core/src/reelscale_core/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: every node picks the same member for a key.
+"""Rendezvous hashing: all nodes choose the same member for a key.
 
-A member that joins or leaves moves only the keys it wins or held.
+A member that joins or leaves moves only its own keys.
 Source: Thaler and Ravishankar, "A name-based mapping scheme for
 rendezvous", 1996.
 """
@@ -20,16 +20,16 @@
 
 
 def order(key: str, members: Iterable[str]) -> list[str]:
-    """Return members, best first; ties fall to the lesser name."""
+    """Return members, highest score first, then by name."""
     return sorted(members, key=lambda member: (-score(key, member), member))
 
 
 def choose(key: str, members: Iterable[str]) -> str | None:
-    """Return the best member for a key, or None without members."""
+    """Return the member with the highest score; None without members."""
     ranked = order(key, members)
     return ranked[0] if ranked else None
 
 
 def subset(node: str, members: Iterable[str], *, size: int) -> list[str]:
-    """Return the members that one node talks to, at most size of them."""
+    """Return at most size members that one node connects to, sorted."""
     return sorted(order(node, members)[:size])
--- a/packages/reelscale-core/src/reelscale_core/route.py
+++ b/packages/reelscale-core/src/reelscale_core/route.py
@@ -1,7 +1,6 @@
-"""Routes: which target a request goes to, by host and path.
+"""Routes: select the target of a request by host and path.
 
-The route of a request is the one of its host whose prefix begins the path
-and is longest.
+The route with the longest matching path prefix of the host applies.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -19,11 +18,11 @@
 
 
 class Share(NamedTuple):
-    """A part of a route's requests.
+    """A weighted share of a route's requests.
 
     Attributes:
-      target: Name of the group or service that gets it.
-      weight: Its size relative to the other shares.
+      target: Name of the group or service that receives it.
+      weight: Weight relative to the other shares.
     """
 
     target: str
@@ -31,13 +30,13 @@
 
 
 class Limits(NamedTuple):
-    """What callers may send and how long they may take.
+    """Limits of the size and duration of requests.
 
     Attributes:
-      header_bytes: Largest head of a request.
-      body_bytes: Largest body.
-      header_timeout_s: Seconds in which a head must be whole.
-      idle_timeout_s: Seconds for which a connection may rest.
+      header_bytes: Maximum size of the head.
+      body_bytes: Maximum size of the body.
+      header_timeout_s: Seconds within which the head must be complete.
+      idle_timeout_s: Seconds for which a connection may be idle.
     """
 
     header_bytes: int = 16384
@@ -47,22 +46,22 @@
 
 
 class Route(NamedTuple):
-    """A route that an operator has configured.
+    """A configured route.
 
     Attributes:
       name: Unique name.
-      host: The host that callers name.
-      prefix: What a path must begin with; begins and ends with "/".
+      host: Host name of requests.
+      prefix: Path prefix of requests; begins and ends with "/".
       kind: SAFE, UNSAFE or STREAM.
-      shares: Where its requests go.
-      timeout_s: Longest time that a request is held, in seconds.
-      goal_s: Time in which an answer, or its first event, should come.
-      pause_s: Longest good pause between events of a stream, 0 for any.
-      attempts: Most upstreams that one request is sent to.
-      priority: Class of its requests, 0 the most urgent; None if the
-        workspace's counts.
-      public: Whether it is served without a key.
-      resumable: Whether a broken stream may go on at another upstream.
+      shares: Targets of its requests.
+      timeout_s: Maximum seconds for which a request is held.
+      goal_s: Target seconds until an answer, or its first event.
+      pause_s: Target maximum seconds between events of a stream; 0 for none.
+      attempts: Maximum attempts of one request.
+      priority: Class of its requests, 0 the most urgent; None for the
+        workspace's.
+      public: Whether requests need no key.
+      resumable: Whether a broken stream may resume at another upstream.
     """
 
     name: str
@@ -85,7 +84,7 @@
 
 
 class Table:
-    """Finds routes; made anew for every configuration."""
+    """Finds routes; rebuilt for every configuration."""
 
     def __init__(self, *, routes: Iterable[Route]) -> None:
         self._by_host: dict[str, list[Route]] = {}
@@ -95,7 +94,7 @@
             rows.sort(key=lambda item: len(item.prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, None if there is none.
+        """Return the route of a request, if any.
 
         Args:
           host: The Host header, with or without a port.
@@ -109,14 +108,14 @@
 
 
 def target(route: Route, request_id: str) -> str:
-    """Choose among the shares of a route, by weight and request id.
+    """Return the target of a request, by weight and request id.
 
-    The same request comes to the same target at every entry.
+    All entries choose the same target for the same request.
     """
     if len(route.shares) == 1:
         return route.shares[0].target
-    whole = sum(share.weight for share in route.shares)
-    point = rendezvous.score(request_id, route.name) / 2**64 * whole
+    total = sum(share.weight for share in route.shares)
+    point = rendezvous.score(request_id, route.name) / 2**64 * total
     for share in route.shares:
         point -= share.weight
         if point < 0:
--- a/packages/reelscale-core/src/reelscale_core/schema.py
+++ b/packages/reelscale-core/src/reelscale_core/schema.py
@@ -1,4 +1,4 @@
-"""Checks JSON documents and reports every fault at once."""
+"""Validates JSON documents and reports all faults together."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -13,28 +13,25 @@
 
 
 def load(package: str, name: str) -> dict[str, Any]:
-    """Read a JSON schema that ships inside a package.
+    """Read a JSON schema from a package.
 
     Args:
       package: Dotted name of the package.
-      name: File name of the schema in it.
-
-    Returns:
-      The schema as a dict.
+      name: File name of the schema.
     """
     text = resources.files(package).joinpath(name).read_text()
     return json.loads(text)
 
 
 def faults(document: Any, schema: dict[str, Any]) -> tuple[error.Fault, ...]:
-    """List all faults of a document, in document order.
+    """Return all faults of a document, sorted by path.
 
     Args:
       document: A decoded JSON value.
       schema: A JSON schema, draft 2020-12.
 
     Returns:
-      One Fault for each violated rule, empty if the document is good.
+      One Fault per violated rule; empty if the document is valid.
     """
     validator = jsonschema.Draft202012Validator(schema)
     found = []
@@ -44,7 +41,7 @@
 
 
 def check(document: Any, schema: dict[str, Any], *, step: str) -> None:
-    """Raise one error that carries every fault of a document.
+    """Raise one error with all faults of a document, if any.
 
     Raises:
       CodedError: Code "bad-document", status 400.
@@ -64,7 +61,7 @@
     """Decode JSON text.
 
     Raises:
-      CodedError: Code "bad-json", with the line and column.
+      CodedError: Code "bad-json", with line and column.
     """
     try:
         return json.loads(text)
@@ -75,7 +72,7 @@
 
 
 def _unfold(item: jsonschema.ValidationError) -> list[error.Fault]:
-    """Turn one schema error, with its alternatives, into faults."""
+    """Return the faults of a schema error; of the best match for oneOf."""
     path = "/" + "/".join(str(part) for part in item.absolute_path)
     if item.validator == "oneOf" and item.context:
         best = jsonschema.exceptions.best_match([item])
--- a/packages/reelscale-core/src/reelscale_core/settings.py
+++ b/packages/reelscale-core/src/reelscale_core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of reelscaled, checked when they are read."""
+"""Reads and validates the settings of reelscaled."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -16,7 +16,7 @@
     """A credential of an operator.
 
     Attributes:
-      name: Who holds it.
+      name: Name of the operator.
       key_digest: SHA-256, hex, of the key.
     """
 
@@ -25,10 +25,10 @@
 
 
 class Settings(NamedTuple):
-    """What a process is told; the schema describes each but path.
+    """The settings of a process; the schema describes each but path.
 
     Attributes:
-      path: The file that they were read from.
+      path: Path of the settings file.
     """
 
     path: str
@@ -69,7 +69,7 @@
 
     Raises:
       CodedError: "no-settings", "bad-json" or "bad-document"; the last
-        carries every fault of the file.
+        lists all faults of the file.
     """
     try:
         text = pathlib.Path(path).read_text()
@@ -82,25 +82,25 @@
 
 
 def parse(document: Any, *, role: str, path: str = "") -> Settings:
-    """Check a decoded document and fill in what it leaves out."""
-    found = list(schema.faults(document, SCHEMA))
+    """Validate a decoded document and fill in defaults."""
+    faults = list(schema.faults(document, SCHEMA))
     if isinstance(document, dict):
         if role == "agent" and "engine" not in document:
-            found.append(error.Fault("/engine", "the URL of the upstream"))
-        own = not document.get("adapter")
-        if role == "entry" and own and not document.get("operators"):
-            found.append(error.Fault("/operators", "at least one operator"))
-        needed = ("health", "usage") if role == "entry" else ("target",)
-        for name in needed:
-            if not own and not document.get(name):
-                place = "a value, as there is an adapter"
-                found.append(error.Fault(f"/{name}", place))
-    if found:
+            faults.append(error.Fault("/engine", "the URL of the upstream"))
+        standalone = not document.get("adapter")
+        if role == "entry" and standalone and not document.get("operators"):
+            faults.append(error.Fault("/operators", "at least one operator"))
+        required = ("health", "usage") if role == "entry" else ("target",)
+        for name in required:
+            if not standalone and not document.get(name):
+                expected = "a value, as there is an adapter"
+                faults.append(error.Fault(f"/{name}", expected))
+    if faults:
         raise error.CodedError(
             "bad-document",
             step="settings",
-            detail=f"{len(found)} fault(s) in the settings",
-            faults=tuple(found),
+            detail=f"{len(faults)} fault(s) in the settings",
+            faults=tuple(faults),
         )
     return _build(document, path)
 
--- a/packages/reelscale-core/src/reelscale_core/short_hash.py
+++ b/packages/reelscale-core/src/reelscale_core/short_hash.py
@@ -1,4 +1,4 @@
-"""Short names for upstreams where few bytes are to tell of many."""
+"""Short hashes that identify names in datagrams."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -7,5 +7,5 @@
 
 
 def of(text: str) -> int:
-    """Return the signed 32-bit hash by which datagrams name a text."""
+    """Return the signed 32-bit hash of a text."""
     return zlib.crc32(text.encode()) - (1 << 31)
--- a/packages/reelscale-core/src/reelscale_core/suspension.py
+++ b/packages/reelscale-core/src/reelscale_core/suspension.py
@@ -1,7 +1,7 @@
-"""Tells that the machine was suspended, from the clocks it has.
+"""Detects suspensions of the machine by comparing its clocks.
 
-A suspension stops the clock that counts running time alone; the one that
-counts all time, and the time of day, go on.
+A suspension stops the clock of running time; the clock that counts
+suspensions and the time of day continue.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -11,19 +11,19 @@
 
 from .clock import Clock
 
-# Shorter ones are not told: clocks are read one after the other, and what is
-# believed may be as old as that anyway.
+# Shorter ones are ignored: the clocks are not read at the same instant, and
+# cached state may be as old as this anyway.
 MIN_SUSPENSION_S = 0.3
 
 
 class Reading(NamedTuple):
-    """The clocks at one moment.
+    """A reading of all clocks.
 
     Attributes:
-      all_s: The clock that counts suspensions, in seconds.
-      running_s: The clock that does not.
-      wall_s: The time of day.
-      counted: Whether the first of them goes on during a suspension.
+      all_s: Seconds on the clock that counts suspensions.
+      running_s: Seconds on the clock that does not.
+      wall_s: Unix time in seconds.
+      counted: Whether all_s includes suspensions.
     """
 
     all_s: float
@@ -43,15 +43,14 @@
 
 
 def suspended_s(before: Reading, now: Reading) -> float:
-    """Return for how long the machine was suspended between two readings.
+    """Return how long the machine was suspended between two readings, or 0.
 
-    0 if it was not.  Where no clock counts suspensions, a leap of the time of
-    day is taken for one: that a step forward is mistaken for a suspension
-    costs a look at what is believed.
+    Where no clock counts suspensions, a forward step of the time of day
+    counts as one: a false positive only causes cached state to be checked.
     """
     running_s = now.running_s - before.running_s
     if now.counted:
-        gone_s = now.all_s - before.all_s - running_s
+        stopped_s = now.all_s - before.all_s - running_s
     else:
-        gone_s = now.wall_s - before.wall_s - running_s
-    return gone_s if gone_s >= MIN_SUSPENSION_S else 0.0
+        stopped_s = now.wall_s - before.wall_s - running_s
+    return stopped_s if stopped_s >= MIN_SUSPENSION_S else 0.0
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/orders.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/orders.py
@@ -93,7 +93,7 @@
         """
         if self._config.log_age_s() < float("inf"):
             return False
-        wait_s = self._lease_s * (1 + lease.DRIFT)
+        wait_s = self._lease_s * (1 + lease.MAX_DRIFT)
         return self._clock.monotonic() < self._started_at + wait_s
 
 
