--- a/features/steps/platform_entries_steps.py
+++ b/features/steps/platform_entries_steps.py
@@ -16,7 +16,7 @@
 
 NOTHING = "nothing"
 STATES = ("ready", "draining")
-NOT_TRUSTED = "An announcement cannot be trusted; it names no upstream."
+NOT_TRUSTED = "Ignored an invalid announcement of an upstream."
 
 
 @given('the list of upstreams with a sound "{one}" and "{two}"')
@@ -216,32 +216,38 @@
 @then("no error came out, and each time just the sound entries got work")
 def _(context):
     assert context.ran >= 400, context.ran
-    bad = [r for r in context.lines.rows if "could not be taken" in r.sentence]
+    bad = [r for r in context.lines.rows if "Could not apply" in r.sentence]
     assert not bad, bad[:1]
 
 
 @when('the heartbeat of "{name}" is written {count:d} times')
 def _(context, name, count):
-    context.told = context.listing.directory.news_offset
+    context.told = context.listing.directory.update_offset
     for seq in range(count):
         _write(context, name, _entry("seq", str(seq)))
 
 
 @when('"{name}" is withdrawn from the list')
 def _(context, name):
-    context.told = context.listing.directory.news_offset
+    context.told = context.listing.directory.update_offset
     _write(context, name, None)
 
 
 @then("other entries are told of nothing new")
 def _(context):
     made = context.listing.directory
-    assert made.news_offset == context.told, (made.news_offset, context.told)
+    assert made.update_offset == context.told, (
+        made.update_offset,
+        context.told,
+    )
     assert made.offset > context.told, made.offset
 
 
 @then("other entries are told of something new")
 def _(context):
     made = context.listing.directory
-    assert made.news_offset > context.told, (made.news_offset, context.told)
-    assert made.news_offset == made.offset, made.offset
+    assert made.update_offset > context.told, (
+        made.update_offset,
+        context.told,
+    )
+    assert made.update_offset == made.offset, made.offset
--- a/features/steps/platform_lapse_steps.py
+++ b/features/steps/platform_lapse_steps.py
@@ -53,5 +53,5 @@
     (back,) = [row["time"] for row in rows if row["text"] == BACK]
     (gone,) = [row["time"] for row in rows if row["text"] == GONE]
     kept_s = gone - back
-    most_s = directory.RELIST_S + LATE_S
-    assert directory.RELIST_S - LATE_S < kept_s < most_s, kept_s
+    most_s = directory.RELIST_GRACE_S + LATE_S
+    assert directory.RELIST_GRACE_S - LATE_S < kept_s < most_s, kept_s
--- a/features/steps/platform_reborn_steps.py
+++ b/features/steps/platform_reborn_steps.py
@@ -12,7 +12,7 @@
 
 BORN_MS = 1_700_000_000_000
 LATER_MS = BORN_MS + 700
-AGAIN = "An upstream has started again; nothing of before holds."
+AGAIN = "An upstream restarted; its earlier state is discarded."
 EARLIER = "An upstream's earlier start seems to have announced itself."
 
 
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -163,7 +163,7 @@
     answer = made.ask("/push/x", entry="f2", Authorization=_bearer(made))
     assert answer.status_code == 200, answer
     texts = [row["text"] for row in made.log_lines("f2")]
-    assert "Took the list of a peer." in texts, texts
+    assert "Applied the list of a peer." in texts, texts
 
 
 @when('both entries are killed and "f2" is started again')
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/directory.py
@@ -1,7 +1,7 @@
-"""Follows the platform's list of the upstreams that announce themselves.
+"""Follows the platform's list of announced upstreams.
 
-The list tells which upstreams there are; what is known of each beside that,
-and what may be sent to it, stands in upstreams.py.
+The list determines which upstreams exist; upstreams.py keeps their state and
+decides which requests may be sent to them.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -30,27 +30,25 @@
 from . import view as views
 
 LOG = logs.Logger("directory")
-# Between two reads, in seconds: many upstreams start or leave together, and
-# each read costs a call.  Where heartbeats are records, too, every read finds
-# something, so only the first entries by name read as often as that.
-PAUSE_S = 0.3
-# Between two reads of the others, in seconds.  What matters they hear from the
-# first ones sooner; when they hear nobody, an upstream that leaves is left
-# well before it ends.
-OTHERS_PAUSE_S = 0.9
-# After a read that failed, in seconds; up to twice as long by chance, so that
-# entries do not all come back together.
+# Interval between reads of the list, in seconds, at the first entries by name.
+# Where heartbeats are records, every read returns some, so not all entries
+# read this often.
+POLL_INTERVAL_S = 0.3
+# The same at the other entries, which get changes from the first ones sooner.
+# Short enough to notice a leaving upstream well before it ends.
+SECONDARY_POLL_INTERVAL_S = 0.9
+# Minimum delay after a failed read, in seconds; jittered up to twice as long.
 RETRY_S = 0.25
-# A peer that is ahead in the list for this long, in seconds, is asked for it;
-# entries that read the same record differ by some 0.05 s.
-PEER_LEAD_S = 0.3
-# After the store was away, an upstream that is no longer listed is kept
-# for this long, in seconds: it may be back with its next heartbeat.
-RELIST_S = 2.0
+# How long a peer has to be ahead in the list before it is queried, in seconds;
+# entries read the same record within some 0.05 s.
+PEER_LEAD_TIMEOUT_S = 0.3
+# How long an unlisted upstream is kept after an outage of the store, in
+# seconds: it may be listed again with its next heartbeat.
+RELIST_GRACE_S = 2.0
 
 
 class Directory(upstreams.Upstreams):
-    """Keeps the views of all upstreams, by what the platform lists."""
+    """Keeps the views of all upstreams on the platform's list."""
 
     def __init__(
         self,
@@ -87,11 +85,11 @@
         self._watches = watches
         self._name = name
         self._starts = starts.Starts()
-        self._unusable = unusable.UnusableNotes(metrics=metrics)
+        self._unusable = unusable.UnusableAnnouncements(metrics=metrics)
         self._next = 0
-        self._news_offset = 0
-        self._has_news = False
-        self._regained_at = float("-inf")
+        self._update_offset = 0
+        self._has_updates = False
+        self._recovered_at = float("-inf")
         self._down = False
         self._stopped = False
         self._follower = follower.Follower(
@@ -110,39 +108,41 @@
     async def _round(self) -> float:
         """Read the list once; return the seconds until the next read."""
         await self._read()
-        pause_s = PAUSE_S if self._watches() else OTHERS_PAUSE_S
+        pause_s = (
+            POLL_INTERVAL_S if self._watches() else SECONDARY_POLL_INTERVAL_S
+        )
         return pause_s * (0.75 + random.random() / 2)
 
     async def _on_down(self, down: error.CodedError) -> float:
-        """Ask peers while there is no list; return the same."""
-        self._note_down(down)
+        """Query peers while there is no list; return the next pause."""
+        self._record_down(down)
         if not self.ready:
-            self._take_of_peers(await self._lists.ask_some())
+            self._apply_peer_page(await self._lists.ask_some())
         return RETRY_S * (1 + random.random())
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the following of the list gets on."""
+        """Return the progress of the loop that follows the list."""
         return self._follower.progress
 
     def stop(self) -> None:
-        """Follow the list no longer."""
+        """Stop following the list."""
         self._stopped = True
         self.groups.stop()
 
     @property
     def offset(self) -> int:
-        """Return where the list is read on; 0 while there is none."""
+        """Return the offset of the next read; 0 while there is no list."""
         return self._next if self.ready else 0
 
     @property
-    def news_offset(self) -> int:
-        """Return up to where others must have read to know what matters.
+    def update_offset(self) -> int:
+        """Return the offset up to which peers must read to get all changes.
 
-        Most records are heartbeats that say nothing new: with them others
-        would ask for the whole list again and again.
+        Excludes trailing heartbeats without changes, for which peers would
+        request the complete list again and again.
         """
-        return self._news_offset if self.ready else 0
+        return self._update_offset if self.ready else 0
 
     def answer(self, have_offset: int) -> ttypes.RosterReply:
         """Answer a peer that cannot read the list."""
@@ -152,10 +152,10 @@
         return peer_lists.reply(self.offset, have_offset, listed)
 
     def on_peer_offset(self, peer: str, offset: int) -> None:
-        """Note how far a peer is; take its list if the log does not lead."""
+        """Handle a peer's offset; fetch its list if this entry is behind."""
         if offset <= self.offset:
             return
-        lead_s = 0.0 if self._down or not self.ready else PEER_LEAD_S
+        lead_s = 0.0 if self._down or not self.ready else PEER_LEAD_TIMEOUT_S
         self._reactor.callLater(lead_s, self._pull_if_behind, peer, offset)
 
     def _pull_if_behind(self, peer: str, offset: int) -> None:
@@ -163,87 +163,87 @@
             defer.ensureDeferred(self._pull(peer))
 
     async def _pull(self, peer: str) -> None:
-        self._take_of_peers(await self._lists.ask(peer, self.offset))
+        self._apply_peer_page(await self._lists.ask(peer, self.offset))
 
-    def _take_of_peers(self, page: peer_lists.PeerPage | None) -> None:
-        """Take a peer's list, if it is newer than the own."""
+    def _apply_peer_page(self, page: peer_lists.PeerPage | None) -> None:
+        """Apply a peer's list if it is newer than the local one."""
         if page is None or page.next_offset <= self.offset:
             return
         LOG.info(
-            "Took the list of a peer.",
+            "Applied the list of a peer.",
             peer=page.peer,
             offset=page.next_offset,
             have=self.offset,
             upstreams=len(page.items),
         )
-        whole = base.RosterPage(page.items, page.next_offset, complete=True)
-        self._take_page(whole)
+        complete = base.RosterPage(page.items, page.next_offset, complete=True)
+        self._apply_page(complete)
 
     async def _read(self) -> None:
-        """Read the list once, or what has changed since the last time."""
-        waits = self.ready and not self._down
-        wait_s = self._poll_s() if waits else 0.0
+        """Read the list, or its changes since the last read."""
+        long_poll = self.ready and not self._down
+        wait_s = self._poll_s() if long_poll else 0.0
         from_offset = self._next
         page = await self._roster.read(from_offset, wait_s=wait_s)
-        self._note_up()
+        self._record_up()
         if self._next == from_offset or page.next_offset > self._next:
-            # Else a peer's newer list has been taken meanwhile.
-            self._take_page(page)
+            # Otherwise a peer's newer list has been applied meanwhile.
+            self._apply_page(page)
 
-    def _take_page(self, page: base.RosterPage) -> None:
-        """Take a part of the list, or all of it."""
+    def _apply_page(self, page: base.RosterPage) -> None:
+        """Apply changes of the list, or a complete list."""
         self._next = page.next_offset
         self._starts.record_listed(page.items)
         if page.complete:
-            self._take_whole(page)
+            self._withdraw_unlisted(page)
         for item in page.items:
-            self._take_safely(item)
+            self._apply_safely(item)
         for item in self._starts.promote_due(self._clock.monotonic()):
-            self._announced(item)
-        if self._has_news:
-            self._news_offset, self._has_news = self._next, False
+            self._update_view(item)
+        if self._has_updates:
+            self._update_offset, self._has_updates = self._next, False
         self.ready = True
         self.notify_change()
 
-    def _take_whole(self, page: base.RosterPage) -> None:
-        """Withdraw what a whole list no longer names."""
+    def _withdraw_unlisted(self, page: base.RosterPage) -> None:
+        """Withdraw upstreams that are missing from a complete list."""
         listed = {item.name for item in page.items}
         self._starts.retain(listed)
         for name in set(self.views_by_name) - listed:
-            self._take(announcement.Withdrawn(name))
+            self._apply(announcement.Withdrawn(name))
 
-    def _take_safely(self, item: announcement.Item) -> None:
-        """Take an item; its fault must not cost those behind it."""
+    def _apply_safely(self, item: announcement.Item) -> None:
+        """Apply an item; an error must not affect the items after it."""
         try:
-            self._take(item)
+            self._apply(item)
         except Exception:
             LOG.error(
-                "An item of the list could not be taken.",
+                "Could not apply an item of the list.",
                 name=item.name,
                 reason=failure.Failure().getTraceback(),
             )
 
-    def _take(self, item: announcement.Item) -> None:
+    def _apply(self, item: announcement.Item) -> None:
         match item:
             case announcement.Announcement():
-                self._judge(item)
+                self._apply_announcement(item)
             case announcement.Withdrawn(name=name):
                 self._unusable.forget(name)
                 self._starts.forget(name)
-                self._withdrawn(name)
+                self._withdraw(name)
             case announcement.Unusable():
-                self._distrust(item)
+                self._mark_unusable(item)
 
-    def _judge(self, item: announcement.Announcement) -> None:
-        """Take an announcement for what it is worth."""
+    def _apply_announcement(self, item: announcement.Announcement) -> None:
+        """Apply an announcement if it is of the upstream's current start."""
         match self._starts.classify(item, self._clock.monotonic()):
             case starts.Verdict.CURRENT:
                 self._unusable.forget(item.name)
-                self._announced(item)
+                self._update_view(item)
             case starts.Verdict.UNDATED:
-                detail = "it does not tell its start, though others do"
+                detail = "its start is missing, though others report theirs"
                 bad = announcement.Unusable(item.name, "start", detail)
-                self._distrust(bad)
+                self._mark_unusable(bad)
             case starts.Verdict.SUPERSEDED:
                 LOG.warning(
                     "An upstream's earlier start seems to have announced "
@@ -252,18 +252,18 @@
                     born_ms=item.born_ms,
                 )
 
-    def _distrust(self, item: announcement.Unusable) -> None:
-        """Use an upstream no more until it is announced well again."""
+    def _mark_unusable(self, item: announcement.Unusable) -> None:
+        """Drop an upstream until it sends a valid announcement again."""
         self._starts.forget(item.name)
-        self._unusable.note(item)
+        self._unusable.record(item)
         view = self.views_by_name.get(item.name)
         if view is not None and not view.gone:
             self._drop(item.name, view.upstream)
 
-    def _announced(self, item: announcement.Announcement) -> None:
+    def _update_view(self, item: announcement.Announcement) -> None:
         view = self.views_by_name.get(item.name)
-        if view is None or view.gone or _says_more(view.upstream, item):
-            self._has_news = True
+        if view is None or view.gone or _has_changes(view.upstream, item):
+            self._has_updates = True
         if view is None:
             view = self._new_view(item)
             LOG.info("An upstream is listed.", **item._asdict())
@@ -272,7 +272,7 @@
             self.backoffs.on_restart(view.upstream.start, item.start)
             self.departures.on_restart(view.upstream.start, item.start)
             LOG.info(
-                "An upstream has started again; nothing of before holds.",
+                "An upstream restarted; its earlier state is discarded.",
                 born_before_ms=view.upstream.born_ms,
                 own_before=view.local_in_flight,
                 **item._asdict(),
@@ -289,32 +289,32 @@
         view.gone = False
 
     def _new_view(self, item: announcement.Announcement) -> views.View:
-        """Begin to see a start of an upstream, of which nothing is known."""
+        """Add an empty view of a new start of an upstream."""
         tie_breaker = rendezvous.score(self._name, item.name)
         view = views.View(upstream=item, tie_breaker=tie_breaker)
         self.views_by_name[item.name] = view
         return view
 
-    def _withdrawn(self, name: str) -> None:
-        """Drop an upstream, later if it may be back after an outage."""
-        self._has_news = True
-        since_s = self._clock.monotonic() - self._regained_at
+    def _withdraw(self, name: str) -> None:
+        """Drop an upstream, with a grace period after an outage."""
+        self._has_updates = True
+        since_s = self._clock.monotonic() - self._recovered_at
         view = self.views_by_name.get(name)
         if view is None or view.gone:
             return
-        if since_s < RELIST_S:
-            later_s = RELIST_S - since_s
+        if since_s < RELIST_GRACE_S:
+            later_s = RELIST_GRACE_S - since_s
             self._reactor.callLater(later_s, self._drop, name, view.upstream)
             return
         self._drop(name, view.upstream)
 
     def _drop(self, name: str, upstream: announcement.Announcement) -> None:
-        """Give an upstream no more work, unless it announced itself anew."""
+        """Stop sending to an upstream, unless it was announced again."""
         view = self.views_by_name.get(name)
         if view is None or view.upstream is not upstream:
             return
         view.gone = True
-        self._has_news = True
+        self._has_updates = True
         LOG.info(
             "An upstream is no longer listed.",
             name=name,
@@ -324,24 +324,24 @@
         if not view.local_in_flight:
             del self.views_by_name[name]
 
-    def _note_down(self, down: error.CodedError) -> None:
+    def _record_down(self, down: error.CodedError) -> None:
         if not self._down:
             LOG.warning(
-                "The list of upstreams cannot be read; the last one counts.",
+                "The list of upstreams cannot be read; using the last one.",
                 upstreams=len(self.views_by_name),
                 reason=down.detail,
             )
         self._down = True
 
-    def _note_up(self) -> None:
+    def _record_up(self) -> None:
         if self._down:
             self._down = False
-            self._regained_at = self._clock.monotonic()
+            self._recovered_at = self._clock.monotonic()
             LOG.info("The list of upstreams can be read again.")
 
 
-def _says_more(
+def _has_changes(
     known: announcement.Announcement, item: announcement.Announcement
 ) -> bool:
-    """Tell whether an announcement says more than that its upstream lives."""
+    """Return whether an announcement is more than a heartbeat."""
     return known._replace(cold_s=0.0) != item._replace(cold_s=0.0)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
@@ -1,8 +1,7 @@
-"""Brings a group onto its configured layout, under a lease in the log.
+"""Moves a group to its configured layout, under a lease in the log.
 
-Any agent of the group may take the lease; each watches its own ranks, so
-whoever sees something to do does it.  Agents wait in an order of their own
-for each group, so that as a rule the first claims alone.
+Any agent of the group may take the lease when its rank differs from the
+configuration.  A per-group order of delays usually avoids competing claims.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -32,16 +31,16 @@
 from . import config, follower, orders
 
 LOG = logs.Logger("layout")
-TICK_S = 0.2
-# The n-th agent in a group's order claims this many seconds after noticing.
-CLAIM_STEP_S = 1.0
+POLL_INTERVAL_S = 0.2
+# Delay of a claim per position in the group's order of agents, in seconds.
+CLAIM_DELAY_S = 1.0
 ORDER_TIMEOUT_S = 20.0
 ROUND_PAUSE_S = 0.02
-CLAIM_WAIT_S = 3.0
+CLAIM_TIMEOUT_S = 3.0
 
 
 class Layouts:
-    """One agent's part in the layout changes of its group."""
+    """Performs layout changes of the agent's group while it has the lease."""
 
     def __init__(
         self,
@@ -78,34 +77,34 @@
         )
 
     def start(self) -> None:
-        """Begin to watch the own ranks."""
-        self._timer.start(TICK_S)
+        """Start to poll the local rank."""
+        self._timer.start(POLL_INTERVAL_S)
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the watching gets on."""
+        """Return the progress of the polling."""
         return self._timer.progress
 
     def stop(self) -> None:
-        """Take no further part; a lease held is left to lapse."""
+        """Stop; a lease that is held is left to expire."""
         self._stopped = True
         self._timer.stop()
 
     def _tick(self) -> None:
         if not self._busy:
             self._busy = True
-            defer.ensureDeferred(self._turn())
+            defer.ensureDeferred(self._run_once())
 
-    async def _turn(self) -> None:
+    async def _run_once(self) -> None:
         try:
-            await self._watch()
+            await self._check()
         except Exception as lost:
-            LOG.warning("A turn ended early.", reason=repr(lost))
+            LOG.warning("A layout check failed.", reason=repr(lost))
         finally:
             self._busy = False
 
-    async def _watch(self) -> None:
-        """Look at the own ranks; act when they are not as configured."""
+    async def _check(self) -> None:
+        """Poll the local rank; start a change if it is not as configured."""
         group = self._group()
         if group is None or group.layout.version == 0:
             return
@@ -119,33 +118,33 @@
         if self._noticed_at is None:
             self._noticed_at = now
         members = self._members(group)
-        turn = rendezvous.order(group.name, members).index(self._name)
-        if now < self._noticed_at + turn * CLAIM_STEP_S:
+        position = rendezvous.order(group.name, members).index(self._name)
+        if now < self._noticed_at + position * CLAIM_DELAY_S:
             return
         if await self._claim(group):
             await self._change(group.name)
 
     def _group(self) -> model.Group | None:
-        mine = self._config.state.upstreams_by_name.get(self._name)
-        if mine is None:
+        local = self._config.state.upstreams_by_name.get(self._name)
+        if local is None:
             return None
-        return self._config.state.groups_by_name.get(mine.target)
+        return self._config.state.groups_by_name.get(local.target)
 
     def _members(self, group: model.Group) -> list[str]:
         upstreams = self._config.state.upstreams_by_name.values()
         return [item.name for item in upstreams if item.target == group.name]
 
     async def _claim(self, group: model.Group) -> bool:
-        """Take or renew the group's lease; tell whether it is held."""
+        """Take or renew the group's lease; return whether it is held."""
         now = self._clock.monotonic()
         half = self._lease_s / 2
         if self._held and lease.usable(self._held, now + half):
             return True
         name = f"group/{group.name}"
         current = self._config.state.leases_by_name.get(name)
-        mine = self._held and current and current.offset == self._held.fence
+        held = self._held and current and current.offset == self._held.fence
         read_at = self._config.seen_by_lease.get(name, (0, 0.0))[1]
-        if not mine and not lease.claimable(current, read_at=read_at, now=now):
+        if not held and not lease.claimable(current, read_at=read_at, now=now):
             return False
         return await self._append_claim(name, current.offset if current else 0)
 
@@ -161,9 +160,9 @@
         try:
             await self._platform.append([record.to_json(claim)])
         except error.CodedError:
-            # The claim may be in the log all the same: read on for it.
+            # The claim may be in the log nevertheless.
             pass
-        while self._clock.monotonic() < asked_at + CLAIM_WAIT_S:
+        while self._clock.monotonic() < asked_at + CLAIM_TIMEOUT_S:
             current = self._config.state.leases_by_name.get(name)
             if current is not None and current.offset > replaces:
                 self._held = lease.held(
@@ -174,11 +173,11 @@
         return False
 
     async def _change(self, name: str) -> None:
-        """Give orders, round after round, until all is as configured."""
+        """Send rounds of orders until the group uses its layout."""
         ranks: dict[str, lockstep.Rank] = {}
-        said = ""
+        logged_state = ""
         while not self._stopped:
-            # One lease may serve several changes, so numbers only rise.
+            # One lease may cover several changes, so numbers never restart.
             self._seq += 1
             group = self._config.state.groups_by_name.get(name)
             if group is None or not await self._claim(group):
@@ -191,12 +190,18 @@
             )
             if plan.done:
                 LOG.info(
-                    "A group is on its layout.", group=name, layout=wanted
+                    "The group uses its configured layout.",
+                    group=name,
+                    layout=wanted,
                 )
                 return
-            if plan.waiting != said:
-                said = plan.waiting
-                LOG.info("A layout change waits.", group=name, waits_for=said)
+            if plan.waiting != logged_state:
+                logged_state = plan.waiting
+                LOG.info(
+                    "A layout change waits.",
+                    group=name,
+                    waits_for=logged_state,
+                )
             ranks = await self._round(group, plan, ranks)
             await task.deferLater(self._reactor, ROUND_PAUSE_S)
 
@@ -206,7 +211,7 @@
         plan: schedule.Round,
         ranks: dict[str, lockstep.Rank],
     ) -> dict[str, lockstep.Rank]:
-        """Send one round of orders and take in what is answered."""
+        """Send one round of orders and record the answers."""
         names = sorted(plan.orders)
         replies = await defer.gatherResults(
             [
@@ -223,7 +228,7 @@
     async def _send(
         self, group: model.Group, name: str, order: lockstep.Order
     ) -> lockstep.Rank | None:
-        """Send one order if the lease still holds right now."""
+        """Send one order if the lease is still held."""
         layout = ""
         if isinstance(order, lockstep.Stage):
             layout = _layout_json(group, order.version)
@@ -231,14 +236,14 @@
         if not lease.usable(self._held, self._clock.monotonic()):
             return None
         try:
-            reply = await self._give(name, message)
+            reply = await self._deliver(name, message)
         except link.LinkError:
             return None
         if reply.rank is None:
             return None
         return orders.rank_from_wire(reply.rank)
 
-    async def _give(
+    async def _deliver(
         self, name: str, message: ttypes.Order
     ) -> ttypes.OrderReply:
         if name == self._name:
@@ -250,7 +255,7 @@
 
 
 def _layout_json(group: model.Group, version: int) -> str:
-    """Return a layout that ranks may need, as JSON."""
+    """Return the current or an earlier layout of the group, as JSON."""
     for layout in (group.layout, *group.earlier):
         if layout.version == version:
             return orjson.dumps(model.to_json(layout)).decode()
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/orders.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/orders.py
@@ -1,7 +1,7 @@
-"""The gate for orders to one engine: no order with an old fence passes.
+"""Checks and forwards orders to one engine; rejects outdated fences.
 
-Not every engine checks fences, so the agent on its box, the only path to
-it, always does.  Orders go one at a time.
+Not every engine checks fences, so the agent on its box, the only path to it,
+always does.  Orders are forwarded one at a time.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -22,7 +22,7 @@
 
 
 class Orders:
-    """Checks the fence of each order and passes it on."""
+    """Checks the fence of each order and forwards it to the engine."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._lock = defer.DeferredLock()
 
     async def order(self, message: ttypes.Order) -> ttypes.OrderReply:
-        """Carry an order out, or refuse it."""
+        """Execute an order, or refuse it."""
         await self._lock.acquire()
         try:
             return await self._order(message)
@@ -72,7 +72,7 @@
         )
 
     def _refusal(self, message: ttypes.Order) -> str:
-        """Say why an order may not pass, or return an empty string."""
+        """Return the code with which an order is refused, "" if it is not."""
         held = self._config.state.leases_by_name.get(f"group/{message.group}")
         highest = max(self.fence, held.offset if held else 0)
         if message.fence < highest:
@@ -81,15 +81,15 @@
             return "old-order"
         if not self._config.ready:
             return "not-ready"
-        if self._blank():
+        if self._is_fence_unknown():
             return "fence-unknown"
         return ""
 
-    def _blank(self) -> bool:
-        """Tell whether an older order could pass for a newer one.
+    def _is_fence_unknown(self) -> bool:
+        """Return whether an order with an outdated fence might be accepted.
 
-        A new agent that has not heard the log itself waits until every
-        lease given before its start has lapsed.
+        A new agent that has not read the log waits until every lease granted
+        before its start has expired.
         """
         if self._config.log_age_s() < float("inf"):
             return False
@@ -100,7 +100,7 @@
 def to_wire(
     group: str, order: lockstep.Order, layout_json: str
 ) -> ttypes.Order:
-    """Turn an order into a message."""
+    """Convert an order to a message."""
     data: dict[str, Any] = order._asdict()
     return ttypes.Order(
         group=group,
@@ -118,7 +118,7 @@
 def from_wire(
     message: ttypes.Order,
 ) -> tuple[lockstep.Order, model.Layout | None]:
-    """Turn a message into an order and, with stage, its layout."""
+    """Convert a message to an order and, for Stage, its layout."""
     stamp = (message.fence, message.seq)
     version, step = message.version, message.step
     match message.kind:
@@ -146,19 +146,19 @@
 
 
 def parse_layout(text: str) -> model.Layout:
-    """Read a layout as it travels with a stage order."""
+    """Parse the layout of a Stage order."""
     return model.layout(orjson.loads(text))
 
 
 def rank_to_wire(rank: lockstep.Rank) -> ttypes.RankState:
-    """Turn what a rank holds into a message."""
+    """Convert the state of a rank to a message."""
     data = rank._asdict()
     data["staged"] = sorted(rank.staged)
     return ttypes.RankState(**data)
 
 
 def rank_from_wire(message: ttypes.RankState) -> lockstep.Rank:
-    """Turn a message into what a rank holds."""
+    """Convert a message to the state of a rank."""
     return lockstep.Rank(
         fence=message.fence,
         seq=message.seq,
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/peer_lists.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/peer_lists.py
@@ -1,7 +1,7 @@
-"""The list of upstreams as other entries have it.
+"""Fetches the list of upstreams from other entries.
 
-An entry that starts while the platform's list cannot be read, or that is cut
-off from it, takes the list of another entry that is further.
+An entry that starts while the platform's list is unavailable, or that is
+partitioned from it, uses the list of an entry that is ahead.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -18,19 +18,18 @@
 from .. import logs
 
 LOG = logs.Logger("directory")
-# A peer that lives answers within some ms; a dead one costs this, in seconds.
 TIMEOUT_S = 1.0
-# Peers asked one after the other, so that an outage is no storm.
-PEERS_ASKED = 3
+# Peers are queried one after the other to limit the load in an outage.
+MAX_PEERS_QUERIED = 3
 
 
 class PeerPage(NamedTuple):
-    """A peer's whole list.
+    """A peer's complete list.
 
     Attributes:
-      peer: Whose it is.
-      items: All upstreams that are listed.
-      next_offset: Where the peer reads the list on.
+      peer: Address of the peer.
+      items: All listed upstreams.
+      next_offset: Offset of the peer's next read of the list.
     """
 
     peer: str
@@ -39,36 +38,36 @@
 
 
 class PeerLists:
-    """Asks other entries for their list.
+    """Queries other entries for their list.
 
     Attributes:
-      asking: Whether one is being asked.
+      asking: Whether a query is in progress.
     """
 
     def __init__(
         self, *, links: link.Links, peers: Callable[[], Iterable[str]]
     ) -> None:
-        """Make it.
+        """Create the client.
 
         Args:
           links: Connections to peers.
-          peers: Gives the addresses of some.
+          peers: Returns the addresses of some peers.
         """
         self.asking = False
         self._links = links
         self._peers = peers
 
     async def ask_some(self) -> PeerPage | None:
-        """Ask a few peers; return the first list that one has."""
+        """Query a few peers; return the first list."""
         known = sorted(self._peers())
-        for peer in random.sample(known, min(len(known), PEERS_ASKED)):
+        for peer in random.sample(known, min(len(known), MAX_PEERS_QUERIED)):
             page = await self.ask(peer, 0)
             if page is not None:
                 return page
         return None
 
     async def ask(self, peer: str, have_offset: int) -> PeerPage | None:
-        """Ask a peer; None if it has nothing newer or does not answer."""
+        """Query a peer; None if it has nothing newer or does not answer."""
         self.asking = True
         query = ttypes.RosterQuery(have_offset=have_offset)
         try:
@@ -76,7 +75,7 @@
                 "roster", query, timeout_s=TIMEOUT_S
             )
         except link.LinkError:
-            # The next peer, or the next datagram of this one, tells.
+            # The next peer, or the next datagram of this one, gives a retry.
             return None
         finally:
             self.asking = False
@@ -85,19 +84,19 @@
         items = [
             announcement.Announcement(**vars(row))
             for row in answer.items
-            if _sound(row)
+            if _is_valid(row)
         ]
         if len(items) < len(answer.items):
             LOG.error(
-                "A peer's list holds what names no upstream.",
+                "Skipped invalid items in the list of a peer.",
                 peer=peer,
                 items=len(answer.items) - len(items),
             )
         return PeerPage(peer, items, answer.offset)
 
 
-def _sound(row: ttypes.RosterItem) -> bool:
-    """Tell whether a peer's item names an upstream that can be used."""
+def _is_valid(row: ttypes.RosterItem) -> bool:
+    """Return whether a peer's item describes a usable upstream."""
     texts = (row.name, row.target, row.address, row.hall)
     if not all(texts) or row.slots is None or row.leaving is None:
         return False
@@ -107,7 +106,7 @@
 def reply(
     offset: int, have_offset: int, listed: Iterable[announcement.Announcement]
 ) -> ttypes.RosterReply:
-    """Return the answer to a peer that has the list up to an offset."""
+    """Return the reply to a peer that has read up to an offset."""
     if offset <= have_offset:
         return ttypes.RosterReply(offset=offset, items=[])
     rows = [
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/wakeup.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/wakeup.py
@@ -1,4 +1,4 @@
-"""A call that is due at the earliest of several times."""
+"""A delayed call at the earliest of several requested times."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,10 +10,9 @@
 
 
 class Wakeup:
-    """Calls a function at the earliest of the times that it is told.
+    """Calls a function at the earliest of the requested times.
 
-    A time that is told later and lies further off is not kept; who is called
-    looks again at what else is due.
+    Later times are not kept; the function has to schedule what is still due.
     """
 
     def __init__(
@@ -30,12 +29,12 @@
         self._at = float("inf")
 
     def within(self, seconds: float) -> None:
-        """Have the function called after this many seconds at the latest."""
+        """Schedule the call within this many seconds."""
         at = self._clock.monotonic() + seconds
-        waits = self._call is not None and self._call.active()
-        if waits and self._at <= at:
+        pending = self._call is not None and self._call.active()
+        if pending and self._at <= at:
             return
-        if waits:
+        if pending:
             self._call.cancel()
         self._at = at
         self._call = self._reactor.callLater(seconds, self._function)
--- a/packages/reelscale-daemon/src/reelscale_daemon/front.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/front.py
@@ -161,7 +161,7 @@
             counts=lambda: self._directory.counts(),
             peer=own.peer,
             offset=lambda: self._base.config.state.offset,
-            roster_offset=lambda: self._directory.news_offset,
+            roster_offset=lambda: self._directory.update_offset,
         )
 
     def _make_parts(self) -> contexts.Context:
