--- a/packages/reelscale-core/src/reelscale_core/admission.py
+++ b/packages/reelscale-core/src/reelscale_core/admission.py
@@ -1,9 +1,9 @@
-"""Decides which waiting request goes next and which is refused at once.
+"""Admission queue: picks the next request and sheds excess load.
 
 Each priority class has a bounded queue ordered by start-time fair queueing
-over workspaces (Goyal, Vin and Chen, 1996): a workspace that floods pushes
-only its own requests back.  The cost of a decision grows with the
-logarithm of the queue, not with the number of workspaces.
+over workspaces (Goyal, Vin and Chen, 1996), so a workspace that sends a burst
+delays only its own requests.  Operations cost O(log n) in the queue length,
+regardless of the number of workspaces.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -18,25 +18,25 @@
 from . import rendezvous
 
 CLASSES = 8
-# Weight of the newest interval in the estimate of the drain rate.
+# Weight of the newest sample in the moving average of dequeue intervals.
 SMOOTHING = 0.1
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 60.0
-# Callers are told to come back within this factor after the earliest time.
+# Retry-After is jittered by up to this fraction of its base value.
 RETRY_SPREAD = 1.0
 
 
 class QueuedRequest(NamedTuple):
-    """A request in the queue; sorts by its tag, then by arrival.
+    """A queued request; orders by virtual start time, then by arrival.
 
     Attributes:
       tag: Virtual start time.
-      number: Arrival number.
-      id: Id of the request.
+      number: Arrival sequence number.
+      id: Request id.
       workspace: Its workspace.
-      priority: Its class, 0 the most urgent.
-      deadline: Monotonic seconds by which it must have started.
-      item: What the caller of this module queued.
+      priority: Priority class; 0 is the most urgent.
+      deadline: Monotonic time by which it must start, in seconds.
+      item: Payload supplied by the caller.
     """
 
     tag: float
@@ -49,12 +49,12 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request was not queued, or no longer is.
+    """The rejection of a request, or its removal from the queue.
 
     Attributes:
       code: "queue-full", "deadline" or "displaced".
-      retry_after_s: Seconds after which to come back.
-      request: The request concerned.
+      retry_after_s: Suggested delay before a retry, in seconds.
+      request: The refused request.
     """
 
     code: str
@@ -62,25 +62,26 @@
     request: QueuedRequest
 
 
-class Pace(NamedTuple):
-    """How fast requests are taken while more wait.
+class DequeueInterval(NamedTuple):
+    """Moving average of the interval between dequeued requests.
 
     Attributes:
-      gap_s: Smoothed seconds between two, None before the first gap.
-      last: Monotonic seconds of the last, None if none waited then.
+      interval_s: Average interval in seconds; None before the first sample.
+      last: Monotonic time of the last dequeue; None if the queue was then
+        empty.
     """
 
-    gap_s: float | None = None
+    interval_s: float | None = None
     last: float | None = None
 
-    def taken(self, now: float, *, more: bool) -> "Pace":
-        """Note that one was taken, and whether more wait."""
-        gap_s = self.gap_s
+    def record(self, now: float, *, more: bool) -> "DequeueInterval":
+        """Record a dequeue; more: whether the queue is still non-empty."""
+        interval_s = self.interval_s
         if self.last is not None:
-            gap = now - self.last
-            old = gap if gap_s is None else gap_s
-            gap_s = old + SMOOTHING * (gap - old)
-        return Pace(gap_s, now if more else None)
+            sample = now - self.last
+            old = sample if interval_s is None else interval_s
+            interval_s = old + SMOOTHING * (sample - old)
+        return DequeueInterval(interval_s, now if more else None)
 
 
 class _Class:
@@ -94,21 +95,21 @@
         self.rows_by_workspace: dict[
             str, collections.deque[QueuedRequest]
         ] = {}
-        self.pace_by_workspace: dict[str, Pace] = {}
-        self._greedy: list[tuple[int, str]] = []
+        self.interval_by_workspace: dict[str, DequeueInterval] = {}
+        self._by_backlog: list[tuple[int, str]] = []
 
     def tag(self, workspace: str) -> float:
         return max(self.virtual, self.finish.get(workspace, 0.0))
 
-    def push(self, entry: QueuedRequest, cost: float) -> None:
-        self.finish[entry.workspace] = entry.tag + cost
-        self.live.add(entry.number)
+    def push(self, request: QueuedRequest, cost: float) -> None:
+        self.finish[request.workspace] = request.tag + cost
+        self.live.add(request.number)
         rows = self.rows_by_workspace.setdefault(
-            entry.workspace, collections.deque()
+            request.workspace, collections.deque()
         )
-        rows.append(entry)
-        heapq.heappush(self.heap, entry)
-        heapq.heappush(self._greedy, (-len(rows), entry.workspace))
+        rows.append(request)
+        heapq.heappush(self.heap, request)
+        heapq.heappush(self._by_backlog, (-len(rows), request.workspace))
 
     def head(self) -> QueuedRequest | None:
         while self.heap and self.heap[0].number not in self.live:
@@ -116,53 +117,53 @@
         if self.heap:
             return self.heap[0]
         self.finish.clear()
-        self.pace_by_workspace.clear()
-        self._greedy.clear()
+        self.interval_by_workspace.clear()
+        self._by_backlog.clear()
         return None
 
-    def serve(self, entry: QueuedRequest, now: float) -> None:
-        self.virtual = max(self.virtual, entry.tag)
-        self.forget(entry)
-        name = entry.workspace
-        pace = self.pace_by_workspace.get(name, Pace())
-        self.pace_by_workspace[name] = pace.taken(
+    def serve(self, request: QueuedRequest, now: float) -> None:
+        self.virtual = max(self.virtual, request.tag)
+        self.remove(request)
+        name = request.workspace
+        interval = self.interval_by_workspace.get(name, DequeueInterval())
+        self.interval_by_workspace[name] = interval.record(
             now, more=name in self.rows_by_workspace
         )
 
-    def waiting(self, workspace: str) -> int:
+    def backlog(self, workspace: str) -> int:
         return len(self.rows_by_workspace.get(workspace, ()))
 
-    def forget(self, entry: QueuedRequest) -> None:
-        self.live.discard(entry.number)
-        rows = self.rows_by_workspace[entry.workspace]
-        rows.remove(entry)
+    def remove(self, request: QueuedRequest) -> None:
+        self.live.discard(request.number)
+        rows = self.rows_by_workspace[request.workspace]
+        rows.remove(request)
         if not rows:
-            del self.rows_by_workspace[entry.workspace]
+            del self.rows_by_workspace[request.workspace]
 
-    def greediest(self) -> str:
-        """Return the workspace with the most requests waiting."""
+    def longest_backlog(self) -> str:
+        """Return the workspace with the most queued requests."""
         while True:
-            count, name = self._greedy[0]
-            real = len(self.rows_by_workspace.get(name, ()))
-            if real == -count:
+            count, name = self._by_backlog[0]
+            current = len(self.rows_by_workspace.get(name, ()))
+            if current == -count:
                 return name
-            heapq.heappop(self._greedy)
-            if real:
-                heapq.heappush(self._greedy, (-real, name))
+            heapq.heappop(self._by_backlog)
+            if current:
+                heapq.heappush(self._by_backlog, (-current, name))
 
 
 class Queue:
     """Requests for one target that wait for a slot at one entry."""
 
     def __init__(self, *, limit: int) -> None:
-        """Make a queue that holds at most limit requests a class."""
+        """Create a queue of at most limit requests per priority class."""
         self.limit = limit
         self._classes = [_Class() for _ in range(CLASSES)]
         self._numbers = itertools.count()
-        self._pace = Pace()
+        self._interval = DequeueInterval()
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return sum(len(item.live) for item in self._classes)
 
     def offer(
@@ -176,14 +177,15 @@
         now: float,
         item: Any,
     ) -> tuple[QueuedRequest | None, Refusal | None]:
-        """Queue a request or refuse one.
+        """Enqueue a request, or refuse one if the queue is overloaded.
 
         Returns:
           The queued request, or None; and a refusal, or None.  Both are
-          there when the newcomer displaced one of a greedier workspace.
+          set if the new request displaced one of a workspace with a longer
+          backlog.
         """
         queue = self._classes[priority]
-        entry = QueuedRequest(
+        request = QueuedRequest(
             queue.tag(workspace),
             next(self._numbers),
             id,
@@ -193,74 +195,78 @@
             item,
         )
         if now + self.wait_s(workspace, priority) > deadline:
-            return None, self._refusal("deadline", entry)
+            return None, self._refusal("deadline", request)
         refusal = None
         if len(queue.live) >= self.limit:
-            worst = self._displaced(queue, workspace)
-            if worst is None:
-                return None, self._refusal("queue-full", entry)
-            queue.forget(worst)
-            refusal = self._refusal("displaced", worst)
-        queue.push(entry, 1 / weight)
-        return entry, refusal
+            displaced = self._displaceable(queue, workspace)
+            if displaced is None:
+                return None, self._refusal("queue-full", request)
+            queue.remove(displaced)
+            refusal = self._refusal("displaced", displaced)
+        queue.push(request, 1 / weight)
+        return request, refusal
 
     def head(self) -> QueuedRequest | None:
-        """Return the request to serve next, leaving it in the queue."""
+        """Return the next request without removing it."""
         for queue in self._classes:
-            entry = queue.head()
-            if entry is not None:
-                return entry
+            request = queue.head()
+            if request is not None:
+                return request
         return None
 
-    def take(self, entry: QueuedRequest, now: float) -> None:
-        """Take the head out, to be served."""
-        self._classes[entry.priority].serve(entry, now)
-        self._pace = self._pace.taken(now, more=len(self) > 0)
+    def take(self, request: QueuedRequest, now: float) -> None:
+        """Remove the head of the queue for dispatch."""
+        self._classes[request.priority].serve(request, now)
+        self._interval = self._interval.record(now, more=len(self) > 0)
 
-    def drop(self, entry: QueuedRequest) -> bool:
-        """Take a request out, as when its caller left; False if gone."""
-        queue = self._classes[entry.priority]
-        if entry.number not in queue.live:
+    def drop(self, request: QueuedRequest) -> bool:
+        """Remove a request, for example on disconnect; False if absent."""
+        queue = self._classes[request.priority]
+        if request.number not in queue.live:
             return False
-        queue.forget(entry)
+        queue.remove(request)
         return True
 
     def wait_s(self, workspace: str, priority: int) -> float:
-        """Estimate how long a newcomer waits, in seconds.
+        """Estimate the wait of a new request, in seconds.
 
-        What its own workspace has waiting, at the pace at which that
-        workspace is served; before that pace is known, all that waits in
-        its class and above, at the pace of the whole queue.
+        Uses the backlog and dequeue interval of the workspace.  Until that
+        interval is known, uses the backlog of all classes up to this priority
+        and the dequeue interval of the whole queue.
         """
         queue = self._classes[priority]
-        pace = queue.pace_by_workspace.get(workspace, Pace())
-        if pace.gap_s is not None:
-            return pace.gap_s * (queue.waiting(workspace) + 1)
-        if self._pace.gap_s is None:
+        interval = queue.interval_by_workspace.get(
+            workspace, DequeueInterval()
+        )
+        if interval.interval_s is not None:
+            return interval.interval_s * (queue.backlog(workspace) + 1)
+        if self._interval.interval_s is None:
             return 0.0
         classes = self._classes[: priority + 1]
         ahead = sum(len(item.live) for item in classes)
-        turns = (queue.waiting(workspace) + 1) * (
+        fair_share = (queue.backlog(workspace) + 1) * (
             len(queue.rows_by_workspace) + 1
         )
-        return self._pace.gap_s * min(ahead, turns)
+        return self._interval.interval_s * min(ahead, fair_share)
 
     def retry_after_s(self, id: str, workspace: str, priority: int) -> float:
-        """Return when to come back, spread by id so that none crowd."""
+        """Return a Retry-After in seconds, jittered by request id."""
         base = max(MIN_RETRY_AFTER_S, self.wait_s(workspace, priority))
         spread = rendezvous.score(id, "retry") / 2**64
         return min(base * (1 + RETRY_SPREAD * spread), MAX_RETRY_AFTER_S)
 
-    def _displaced(
+    def _displaceable(
         self, queue: _Class, workspace: str
     ) -> QueuedRequest | None:
-        """Find the last request of a workspace that waits for more."""
+        """Return the last request of the longest backlog, if displaceable."""
         rows = queue.rows_by_workspace
-        greedy = queue.greediest()
-        if len(rows[greedy]) <= len(rows.get(workspace, ())) + 1:
+        longest = queue.longest_backlog()
+        if len(rows[longest]) <= len(rows.get(workspace, ())) + 1:
             return None
-        return rows[greedy][-1]
+        return rows[longest][-1]
 
-    def _refusal(self, code: str, entry: QueuedRequest) -> Refusal:
-        after = self.retry_after_s(entry.id, entry.workspace, entry.priority)
-        return Refusal(code, math.ceil(after), entry)
+    def _refusal(self, code: str, request: QueuedRequest) -> Refusal:
+        after = self.retry_after_s(
+            request.id, request.workspace, request.priority
+        )
+        return Refusal(code, math.ceil(after), request)
--- a/packages/reelscale-core/src/reelscale_core/answer.py
+++ b/packages/reelscale-core/src/reelscale_core/answer.py
@@ -1,4 +1,4 @@
-"""Puts an answer together from batches that may be late or repeated."""
+"""Reassembles an answer from fragments that may be late or duplicated."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -9,14 +9,14 @@
 
 
 class Fragment(NamedTuple):
-    """Chunks of one attempt.
+    """Consecutive chunks of one attempt.
 
     Attributes:
-      attempt: Id of the attempt they belong to.
+      attempt: Id of the attempt.
       from_seq: Sequence number of the first chunk.
       chunks: The chunks.
-      count: Number of chunks of the whole answer, None before its end.
-      digest: Digest of the whole answer, with count.
+      count: Total number of chunks; None until the last fragment.
+      digest: Digest of the complete answer; set together with count.
     """
 
     attempt: str
@@ -30,7 +30,7 @@
     """Collects the chunks of one attempt, each exactly once."""
 
     def __init__(self, *, attempt: str) -> None:
-        """Start with nothing of an attempt."""
+        """Start an empty answer."""
         self.attempt = attempt
         self.seq = 0
         self.complete = False
@@ -38,11 +38,11 @@
         self._digest = hashlib.blake2b(digest_size=8)
 
     def add(self, fragment: Fragment) -> list[bytes]:
-        """Take a fragment in.
+        """Add a fragment.
 
         Returns:
-          The chunks that are new, in order; empty for a fragment that is
-          of another attempt, repeated, or ahead of a gap.
+          The new chunks in order; empty if the fragment belongs to another
+          attempt, is a duplicate or follows a gap.
         """
         if fragment.attempt != self.attempt or self.complete:
             self.dropped += len(fragment.chunks)
@@ -65,10 +65,10 @@
 
 
 class Outbox:
-    """Chunks of one attempt at the sender, kept until they arrived."""
+    """Send buffer of one attempt; keeps chunks until acknowledged."""
 
     def __init__(self, *, limit_bytes: int) -> None:
-        """Make an outbox that asks its source to pause at a limit."""
+        """Create an outbox that reports backpressure at limit_bytes."""
         self.limit_bytes = limit_bytes
         self.base = 0
         self.bytes = 0
@@ -83,41 +83,41 @@
 
     @property
     def count(self) -> int:
-        """Chunks taken in so far."""
+        """Number of chunks received from the source."""
         return self.base + len(self._chunks)
 
     def put(self, chunk: bytes) -> None:
-        """Take a chunk from the source."""
+        """Append a chunk from the source."""
         self._chunks.append(chunk)
         self.bytes += len(chunk)
         self._digest.update(chunk)
 
     def finish(self) -> None:
-        """Note that the source has given its last chunk."""
+        """Mark the end of the answer."""
         self.done = True
 
     def digest(self) -> str:
-        """Return the digest over all chunks so far."""
+        """Return the digest of all chunks so far."""
         return self._digest.hexdigest()
 
     def acknowledge(self, from_seq: int) -> None:
-        """Drop the chunks before a sequence number: they have arrived.
+        """Drop the chunks before a sequence number, which were received.
 
         Raises:
-          IndexError: from_seq was itself dropped, or has yet to be put in.
+          IndexError: from_seq was already dropped or is beyond the end.
         """
         if from_seq < self.base or from_seq > self.count:
             raise IndexError(from_seq)
-        gone = from_seq - self.base
-        self.bytes -= sum(len(chunk) for chunk in self._chunks[:gone])
-        del self._chunks[:gone]
+        acknowledged = from_seq - self.base
+        self.bytes -= sum(len(chunk) for chunk in self._chunks[:acknowledged])
+        del self._chunks[:acknowledged]
         self.base = from_seq
 
     def read(self, from_seq: int, max_bytes: int) -> list[bytes]:
-        """Return chunks from a sequence number on; drops earlier ones.
+        """Return chunks from a sequence number on and drop earlier ones.
 
         Raises:
-          IndexError: As of acknowledge().
+          IndexError: As for acknowledge().
         """
         self.acknowledge(from_seq)
         size = 0
--- a/packages/reelscale-core/src/reelscale_core/backoff.py
+++ b/packages/reelscale-core/src/reelscale_core/backoff.py
@@ -1,10 +1,4 @@
-"""How long an upstream that refused a request wants no other.
-
-An upstream that sheds load names in its refusal a time in which it wants
-nothing from the one who asked (RFC 9110, 10.2.3).  Load pattern: a few of
-many upstreams refuse all that arrives for some seconds, while the others
-have room.
-"""
+"""Honours Retry-After of upstreams that shed load (RFC 9110, 10.2.3)."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -14,20 +8,18 @@
 from . import number
 from .clock import Clock
 
-# With these an upstream may say when it wants requests again (RFC 9110, 15.6.4
-# and RFC 6585, 4).
+# Statuses that may carry Retry-After (RFC 9110, 15.6.4, and RFC 6585, 4).
 STATUSES = (429, 503)
-# No upstream is left alone for longer, in seconds, whatever it asks for: one
-# that is sound again must not be lost for good.
+# Bounds erroneous values, which would remove an upstream permanently.
 MAX_BACKOFF_S = 3600.0
 
 
 class Backoff(NamedTuple):
-    """What one start of an upstream has asked of this entry.
+    """Backoff requested by one start of an upstream.
 
     Attributes:
-      until: Monotonic seconds up to which it wants nothing.
-      received_at: Unix time of its last refusal, in seconds.
+      until: Monotonic time at which it ends, in seconds.
+      received_at: Unix time of the last refusal, in seconds.
     """
 
     until: float
@@ -35,19 +27,18 @@
 
 
 def parse_retry_after(retry_after: str) -> float | None:
-    """Return the seconds that a Retry-After states; None if it states none.
+    """Return the seconds of a Retry-After value; None if it is invalid.
 
-    A date is not read: clocks of machines differ by more than upstreams ask.
+    Dates are not supported: clock skew between boxes exceeds typical values.
     """
     seconds = number.decimal(retry_after)
     return None if seconds is None else min(seconds, MAX_BACKOFF_S)
 
 
 def extended(old: Backoff | None, seconds: float, clock: Clock) -> Backoff:
-    """Return what counts once an upstream asks again.
+    """Return the backoff after a further refusal.
 
-    Each answer binds by itself, and they may overtake one another: the one
-    that reaches furthest counts.
+    Refusals may arrive out of order, so the latest end applies.
     """
     until = clock.monotonic() + seconds
     if old is not None:
@@ -56,5 +47,5 @@
 
 
 def remaining_s(backoff: Backoff | None, now: float) -> float:
-    """Return for how long an upstream wants nothing more, in seconds."""
+    """Return the remaining backoff in seconds, 0 if there is none."""
     return 0.0 if backoff is None else max(0.0, backoff.until - now)
--- a/packages/reelscale-core/src/reelscale_core/circuit.py
+++ b/packages/reelscale-core/src/reelscale_core/circuit.py
@@ -1,4 +1,4 @@
-"""A circuit breaker for each upstream, as a pure state machine."""
+"""Circuit breaker of an upstream, as a pure state machine."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -11,13 +11,13 @@
 
 
 class Circuit(NamedTuple):
-    """State of one circuit.
+    """State of a circuit breaker.
 
     Attributes:
-      failures: Failures in a row.
-      open_until: Monotonic seconds until which nothing is sent.
-      open_s: How long it was opened last, 0 when closed.
-      probing: Whether the one trial after opening is in progress.
+      failures: Consecutive failures.
+      open_until: Monotonic time of the next probe, in seconds.
+      open_s: Last open interval in seconds, 0 if closed.
+      probing: Whether a half-open probe is in progress.
     """
 
     failures: int = 0
@@ -30,28 +30,27 @@
 
 
 def allows(circuit: Circuit, now: float) -> bool:
-    """Tell whether a request may be sent now."""
+    """Return whether a request may be sent now."""
     if circuit.open_s == 0:
         return True
     return now >= circuit.open_until and not circuit.probing
 
 
 def sent(circuit: Circuit) -> Circuit:
-    """Note that a request was sent; on an open circuit, the trial."""
+    """Record a sent request; on an open circuit it is the probe."""
     return circuit._replace(probing=circuit.open_s > 0)
 
 
 def succeeded(_circuit: Circuit) -> Circuit:
-    """Note a success: the circuit closes."""
+    """Record a success, which closes the circuit."""
     return CLOSED
 
 
 def failed(circuit: Circuit, now: float) -> Circuit:
-    """Note a failure; opens after several, longer after each trial.
+    """Record a failure; the open interval doubles with each failed probe.
 
-    On an open circuit only the trial counts.  What was sent before it opened
-    is lost together with that, and says nothing of the time since: ten
-    requests lost at once would keep an upstream out for 30 s in place of 1.
+    On an open circuit only the probe counts: requests sent before it opened
+    fail from the same cause and must not extend the interval.
     """
     if circuit.open_s and not circuit.probing:
         return circuit
--- a/packages/reelscale-core/src/reelscale_core/demand.py
+++ b/packages/reelscale-core/src/reelscale_core/demand.py
@@ -1,4 +1,4 @@
-"""How often each expert is asked for, from the counters of all ranks."""
+"""Recent load of each expert, derived from the counters of all ranks."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -8,13 +8,13 @@
 
 
 class Counters(NamedTuple):
-    """Counters of one rank.
+    """Cumulative token counters of one rank.
 
     Attributes:
-      epoch: They start anew in each.
-      counts: Tokens since then, set after set, by expert.
-      born_ms: Unix time of the rank's start in milliseconds, if it told; they
-        start anew with each.
+      epoch: Epoch of the counters; each epoch starts at zero.
+      counts: Tokens per expert since then, one set of layers after another.
+      born_ms: Unix time of the start of the rank in milliseconds, if known;
+        each start resets the counters.
     """
 
     epoch: int
@@ -23,17 +23,17 @@
 
     @property
     def since(self) -> tuple[int, int | None]:
-        """Return what the counters start anew with."""
+        """Return what identifies a reset of the counters."""
         return self.epoch, self.born_ms
 
 
 class Demand(NamedTuple):
-    """The recent demand in a group.
+    """Recent expert demand of a group.
 
     Attributes:
-      at: Monotonic seconds at which it was true.
-      recent: Tokens of each expert, set after set; older ones fade.
-      last_by_name: The newest counters of each rank.
+      at: Monotonic time of the newest counters, in seconds.
+      recent: Decayed tokens per expert, one set of layers after another.
+      last_by_name: Newest counters of each rank.
     """
 
     at: float = float("-inf")
@@ -48,12 +48,11 @@
     now: float,
     half_life_s: float,
 ) -> Demand:
-    """Take new counters of ranks in.
+    """Return the demand updated with new counters.
 
-    Counters of a rank that was not seen before, or that has started anew,
-    are the base of the next difference and count for nothing yet.  Demand
-    fades as new demand comes, not by time: a group that was away for seconds
-    is asked for much the same as before, and needs a layout at once.
+    Counters of a new or restarted rank only serve as the baseline of the next
+    difference.  Demand decays only when new demand arrives, so that a group
+    that was unavailable for seconds keeps its estimate.
     """
     if not counted_by_name:
         return demand
@@ -63,22 +62,22 @@
         old = demand.last_by_name.get(name)
         if old is None or old.since != counted.since:
             continue
-        for place, value in enumerate(_difference(counted, old)):
-            new[place] += value
+        for index, value in enumerate(_difference(counted, old)):
+            new[index] += value
     last = {**demand.last_by_name, **counted_by_name}
     if not any(new) and len(demand.recent) == width:
         return demand._replace(at=now, last_by_name=last)
-    kept = 0.5 ** ((now - demand.at) / half_life_s) if demand.recent else 0.0
+    decay = 0.5 ** ((now - demand.at) / half_life_s) if demand.recent else 0.0
     old_recent = demand.recent if len(demand.recent) == width else new
     recent = [
-        value * kept + more
-        for value, more in zip(old_recent, new, strict=True)
+        value * decay + added
+        for value, added in zip(old_recent, new, strict=True)
     ]
     return Demand(now, tuple(recent), last)
 
 
 def by_set(demand: Demand, experts: int) -> list[Sequence[float]]:
-    """Return the demand of each set of layers."""
+    """Split the demand by set of layers."""
     starts = range(0, len(demand.recent), experts)
     return [demand.recent[start : start + experts] for start in starts]
 
--- a/packages/reelscale-core/src/reelscale_core/events.py
+++ b/packages/reelscale-core/src/reelscale_core/events.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Incremental parser of server-sent event streams."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -9,16 +9,16 @@
 
 END = b"\n\n"
 ID = b"id:"
-# An event longer than this many bytes is taken as garbage.
+# Streams with a larger event are rejected.
 MAX_EVENT_BYTES = 1 << 20
 
 
 class Event(NamedTuple):
-    """One whole event.
+    """One complete event.
 
     Attributes:
-      id: Its id, None if it has none.
-      data: All its bytes, with the empty line that ends it.
+      id: Event id; None if absent.
+      data: Raw bytes, including the terminating empty line.
     """
 
     id: int | None
@@ -26,30 +26,30 @@
 
 
 class EventParser:
-    """Cuts the bytes of one stream into events as they come."""
+    """Splits the bytes of one stream into events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._pending = b""
 
     @property
-    def rest(self) -> bytes:
-        """The bytes of an event that is not whole yet."""
-        return self._rest
+    def pending(self) -> bytes:
+        """The bytes of an incomplete event."""
+        return self._pending
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes; return the events that they make whole.
+        """Add bytes and return the events that they complete.
 
         Raises:
-          ValueError: An event is longer than MAX_EVENT_BYTES.
+          ValueError: An event exceeds MAX_EVENT_BYTES.
         """
-        *whole, self._rest = (self._rest + data).split(END)
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise ValueError("an event is too long")
-        return [Event(_id(item), item + END) for item in whole]
+        *complete, self._pending = (self._pending + data).split(END)
+        if len(self._pending) > MAX_EVENT_BYTES:
+            raise ValueError(f"event exceeds {MAX_EVENT_BYTES} bytes")
+        return [Event(_id(item), item + END) for item in complete]
 
 
 def _id(text: bytes) -> int | None:
-    """Return the id of an event's text."""
+    """Return the id field of an event, None if absent or not a number."""
     for line in text.split(b"\n"):
         if line.startswith(ID):
             value = line[len(ID) :].strip()
--- a/packages/reelscale-core/src/reelscale_core/gate.py
+++ b/packages/reelscale-core/src/reelscale_core/gate.py
@@ -1,8 +1,8 @@
-"""The agent's memory of attempts: admitted, or dead for good.
+"""Admission of attempts at an agent, with tombstones.
 
-An attempt that is refused or cancelled before it started leaves a
-tombstone, so that a copy which arrives late is refused as well.  Only such
-an attempt is ever reported as not run.
+An attempt that is refused, or cancelled before it started, leaves a tombstone
+so that a delayed duplicate is refused too.  Only such an attempt is reported
+as not run.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -11,18 +11,18 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-# Tombstones are kept this long, and at most this many.
+# Retention and maximum number of tombstones.
 TOMBSTONE_S = 600.0
 MAX_TOMBSTONES = 200_000
 
 
 class Decision(NamedTuple):
-    """What the gate says to an attempt.
+    """The admission decision on an attempt.
 
     Attributes:
-      admitted: Whether it may start (or has started).
-      repeated: Whether it was admitted before.
-      code: Why not, when it is refused.
+      admitted: Whether it may start or has started.
+      repeated: Whether it is a duplicate of an admitted attempt.
+      code: Reason of a refusal.
     """
 
     admitted: bool
@@ -31,10 +31,10 @@
 
 
 class Tombstone(NamedTuple):
-    """What is kept of an attempt that is over.
+    """Record of a finished or refused attempt.
 
     Attributes:
-      ended_at: Monotonic seconds at which it was over.
+      ended_at: Monotonic time of its end, in seconds.
       started: Whether the upstream may have run it.
     """
 
@@ -43,19 +43,19 @@
 
 
 class Gate:
-    """Admits attempts up to a capacity while the upstream is not leaving."""
+    """Admits attempts up to a capacity unless the upstream is leaving."""
 
     def __init__(self, *, capacity: int) -> None:
-        """Make an open gate for capacity attempts at once."""
+        """Create an open gate for capacity concurrent attempts."""
         self.capacity = capacity
         self.leaving = False
-        # Monotonic seconds up to which the upstream wants nothing.
+        # Monotonic time at which the backoff of the upstream ends.
         self._backed_off_until = float("-inf")
         self.running: dict[str, str] = {}
         self._tombstones: OrderedDict[str, Tombstone] = OrderedDict()
 
     def submit(self, attempt: str, entry: str, now: float) -> Decision:
-        """Judge an attempt that arrived."""
+        """Decide whether to admit an attempt."""
         self._expire(now)
         if attempt in self._tombstones:
             return Decision(False, code="cancelled")
@@ -71,29 +71,29 @@
         return Decision(True)
 
     def back_off(self, until: float) -> None:
-        """Admit nothing up to a time; the latest that is asked for counts."""
+        """Refuse attempts until a time; the latest requested end applies."""
         self._backed_off_until = max(self._backed_off_until, until)
 
     def accepts_work(self, now: float) -> bool:
-        """Tell whether the upstream takes new work, if it has room."""
+        """Return whether the upstream accepts work, capacity permitting."""
         return not self.leaving and now >= self._backed_off_until
 
     def refuse(self, attempt: str, now: float, code: str) -> Decision:
-        """Refuse an attempt for a reason that lies outside the gate."""
+        """Refuse an attempt for a reason external to the gate."""
         self.running.pop(attempt, None)
         return self._refuse(attempt, now, code)
 
     def finish(self, attempt: str, now: float) -> None:
-        """Note that an attempt has ended; a late copy is refused."""
+        """Record the end of an attempt; later duplicates are refused."""
         self.running.pop(attempt, None)
         self._leave_tombstone(attempt, now, started=True)
 
     def cancel(self, attempt: str, now: float) -> bool:
-        """Kill an attempt that has not started.
+        """Cancel an attempt that has not started.
 
         Returns:
-          True if it is proved not to run, now and ever; False if it has
-          started or ended.
+          True if it is guaranteed never to run; False if it has started or
+          ended.
         """
         self._expire(now)
         if attempt in self.running:
--- a/packages/reelscale-core/src/reelscale_core/lockstep.py
+++ b/packages/reelscale-core/src/reelscale_core/lockstep.py
@@ -1,7 +1,7 @@
-"""What a rank holds of layouts, and how it obeys orders about them.
+"""Layout state of a rank and its transitions.
 
-An engine must keep these rules, by itself or through its agent.  The
-holder's side is in schedule.
+An engine must follow these rules, by itself or through its agent.  The
+coordinator is in schedule.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -11,21 +11,21 @@
 
 
 class Rank(NamedTuple):
-    """What a rank, or a box of ranks, holds.
+    """Layout state of a rank, or of a box of ranks.
 
     Attributes:
       fence: Highest fence accepted.
-      seq: Highest number of an order under that fence.
-      version: Layout of the steps before next_step; 0 when it has lost
-        everything and runs no step.
-      step: The last step it began, -1 for none.
-      floor: The step that it joined at; the group had begun it by then.
-      staged: Layout versions whose weights it holds.
-      next_version: Layout from next_step on, 0 for none prepared.
-      next_step: First step on it.
-      decided: Whether next_step is certain to run on next_version.
-      committed: Whether it may begin next_step.
-      incarnation: Of the engine; a new one has lost everything.
+      seq: Highest sequence number of an order under that fence.
+      version: Layout of the steps before next_step; 0 if it lost its state
+        and runs no steps.
+      step: Last step begun; -1 for none.
+      floor: Step at which it joined; the group had begun that step.
+      staged: Layout versions whose weights are loaded.
+      next_version: Layout from next_step on; 0 if none is prepared.
+      next_step: First step on next_version.
+      decided: Whether the change at next_step is final.
+      committed: Whether next_step may begin.
+      incarnation: Incarnation of the engine; a new one is empty.
     """
 
     fence: int = 0
@@ -42,14 +42,14 @@
 
 
 class Stamp(NamedTuple):
-    """What puts orders in order: the holder's fence, then its round."""
+    """Total order of orders: fence of the holder, then its round."""
 
     fence: int
     seq: int
 
 
 class Probe(NamedTuple):
-    """Raise the fence and tell what you hold."""
+    """Raise the fence and report the state."""
 
     fence: int
     seq: int
@@ -64,7 +64,7 @@
 
 
 class Prepare(NamedTuple):
-    """Promise not to begin a step until told to commit."""
+    """Promise not to begin a step before the commit."""
 
     fence: int
     seq: int
@@ -73,7 +73,7 @@
 
 
 class Decide(NamedTuple):
-    """Know that all have promised; do not begin the step yet."""
+    """Record that all ranks have promised; do not begin the step yet."""
 
     fence: int
     seq: int
@@ -82,7 +82,7 @@
 
 
 class Commit(NamedTuple):
-    """Go on from a prepared step, on its layout."""
+    """Begin the prepared step on its layout."""
 
     fence: int
     seq: int
@@ -91,14 +91,14 @@
 
 
 class Release(NamedTuple):
-    """Forget a prepared change and go on as before."""
+    """Abort a prepared change."""
 
     fence: int
     seq: int
 
 
 class Adopt(NamedTuple):
-    """Join with nothing at a step, on the schedule of the others."""
+    """Join empty at a step, with the schedule of the group."""
 
     fence: int
     seq: int
@@ -115,8 +115,8 @@
     """Apply an order to a rank.
 
     Returns:
-      The rank after it, and whether the order was accepted.  Every order
-      may arrive twice or late.
+      The new state, and whether the order was accepted.  Orders may be
+      duplicated or delayed.
     """
     if (order.fence, order.seq) < (rank.fence, rank.seq):
         return rank, False
@@ -141,7 +141,7 @@
 
 
 def layout_at(rank: Rank, step: int) -> int:
-    """Return the layout that a rank runs a step on; 0 if it must wait."""
+    """Return the layout on which a rank runs a step; 0 if it must wait."""
     if rank.version == 0:
         return 0
     if rank.next_version == 0 or step < rank.next_step:
@@ -152,14 +152,14 @@
 def reached_step(rank: Rank) -> int:
     """Return a step that the group is known to have begun.
 
-    No rank, not even one that was lost since, has begun a step more than
-    one beyond the least of these.
+    No rank, including one that lost its state since, has begun a step more
+    than one beyond the minimum of these.
     """
     return max(rank.step, rank.floor)
 
 
 def advance(rank: Rank, step: int) -> Rank:
-    """Note that a rank layout_at a step, which layout_at() allowed."""
+    """Begin a step that layout_at() allowed."""
     rank = rank._replace(step=step)
     if rank.next_version and step >= rank.next_step:
         return rank._replace(
--- a/packages/reelscale-core/src/reelscale_core/outage.py
+++ b/packages/reelscale-core/src/reelscale_core/outage.py
@@ -1,10 +1,9 @@
-"""Notices that a whole group refuses work, and when to try it again.
+"""Circuit breaker for a group of ranks.
 
-The ranks of a group step together, so when one is gone all refuse until it
-is back.  Asking one rank after another is then in vain: requests are refused
-at once, and one now and then is let through to see whether the group is back.
-A group is not out while anything of it goes on, however many of its ranks
-shed load.
+The ranks of a group run in lock-step: if one is lost, all refuse requests
+until it returns, and retrying at another rank cannot succeed.  During an
+outage requests are rejected immediately, except for periodic probes.  A group
+that makes progress is not out, however many of its ranks shed load.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -12,23 +11,20 @@
 
 from typing import NamedTuple
 
-# The group is out when so many of its upstreams have refused in a row; a
-# single one may be full or leaving.
+# Upstreams that must refuse in a row; a single one may be full or leaving.
 MIN_REFUSALS = 3
-# One request is let through this often, in seconds: a tenth of what callers
-# are asked to wait, so that the end is seen well before most are back.
+# Well below Retry-After, so that recovery is detected before clients retry.
 PROBE_INTERVAL_S = 0.25
-# A caller who is to come back once waits no longer than this part of the
-# time that it has left; the longer, the likelier the group is back.
+# Retry-After as a fraction of the time remaining until the deadline.
 MAX_WAIT_FRACTION = 0.33
 
 
 class Outage(NamedTuple):
-    """How a group answered lately, as one entry saw it.
+    """Outage state of a group, as observed by one entry.
 
     Attributes:
-      refusing: Upstreams that refused since the group last got on with work.
-      probed_at: Monotonic seconds of the last request let through.
+      refusing: Upstreams that refused since the group last made progress.
+      probed_at: Monotonic time of the last admitted request, in seconds.
     """
 
     refusing: frozenset[str] = frozenset()
@@ -36,20 +32,20 @@
 
     @property
     def out(self) -> bool:
-        """Whether the group refuses work."""
+        """Whether the group is considered out of service."""
         return len(self.refusing) >= MIN_REFUSALS
 
 
 def record_refusal(outage: Outage, upstream: str, now: float) -> Outage:
-    """Note that an upstream refused a request without running it."""
+    """Record that an upstream refused a request without running it."""
     return Outage(outage.refusing | {upstream}, now)
 
 
 def allows(outage: Outage, now: float) -> bool:
-    """Tell whether a request may go to the group now."""
+    """Return whether a request may be sent to the group now."""
     return not outage.out or now - outage.probed_at >= PROBE_INTERVAL_S
 
 
 def retry_after_s(remaining_s: float) -> float:
-    """Return when a refused caller should come back, in seconds."""
+    """Return a Retry-After for a rejected request, in seconds."""
     return max(0.0, remaining_s * MAX_WAIT_FRACTION)
--- a/packages/reelscale-core/src/reelscale_core/pace.py
+++ b/packages/reelscale-core/src/reelscale_core/pace.py
@@ -1,21 +1,18 @@
-"""How many requests a group may have, so that its streams keep their pace.
-
-All ranks of a group step together, and a pass takes longer the more requests
-they have, by how much depends on which experts are wanted.  What callers
-notice is the pause between two events, and one pause that is too long makes
-every stream in progress late.  Load pattern: more is asked than the group
-bears, and what is wanted shifts every few seconds.
-
-A pass takes a fixed time and as much again for each part of the slots that
-is in use.  What a whole group's requests add is worked out from each pause
-that is seen, with its spread; the limit lets the longest pause that is still
-good be reached by the highest such estimate of the last seconds.  So it does
-not have to be found by making streams late, and what the last shift cost is
-kept free for the next.
-
-A rank that is slow by itself makes every pass too long, however few requests
-there are.  A limit would then refuse callers and make no other's stream good,
-so there is none until passes are shorter.
+"""Concurrency limit of a group, derived from inter-event latency.
+
+All ranks of a group run each forward pass in lock-step.  The duration of a
+pass grows with the number of requests, at a rate that depends on the expert
+load.  The pause between two events of a stream is the duration of a pass; a
+single pause above the maximum violates the latency goal of every stream.
+
+The model is linear: a pass takes a fixed time plus a time proportional to the
+fraction of slots in use.  The time added by a fully loaded group is estimated
+from each observed pause, with its variance.  The limit keeps passes below the
+maximum pause at the recent peak of that estimate, which leaves headroom for
+the next shift in demand.
+
+If a slow rank makes passes too long at any load, a limit would reject requests
+without improving latency, so it is lifted until passes recover.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -24,56 +21,50 @@
 import math
 from typing import NamedTuple
 
-# All streams of a group have their events at the same moments: of the pauses
-# seen within this time, in seconds, the longest stands for one pass.
+# Streams of a group emit events at the same time: the longest of the pauses
+# within this window is the sample of one pass.
 SAMPLE_WINDOW_S = 0.05
-# A pass this long ago, in seconds, counts half in mean and spread.
+# Half-life of samples in the moving mean and variance.
 HALF_LIFE_S = 1.0
-# The highest estimate fades to a half in this time, in seconds.
 PEAK_HALF_LIFE_S = 5.0
-# A stream is in time only if all of its dozens of pauses are: passes may
-# exceed their mean by so many standard deviations.
+# Standard deviations above the mean that the estimate allows for: a stream
+# meets its goal only if each of its dozens of pauses does.
 DEVIATIONS = 2.0
-# The part of the longest good pause that passes may take; the rest is for the
-# way of an event to its caller.
+# Fraction of the maximum pause available to a pass; the rest is for delivery.
 USABLE_PAUSE_SHARE = 0.95
-# A pause that is so many times what passes took on average is none: the group
-# was held, or a rank was away for a moment.  The next one tells.
+# A pause of this many times the mean is a stall, not a sample: the group was
+# held or a rank was unresponsive.
 STALL_FACTOR = 3.0
-# A pass counts for so many times the average at most: after a stall another
-# is long, and one extreme would fill the memory of the worst for seconds.
+# Samples are clipped at this many times the mean, so that an outlier after a
+# stall does not dominate the peak estimate.
 CLIP_FACTOR = 2.5
-# So many passes in a row that long are no stall; they count for what they are.
+# Consecutive passes that are too long to be a stall; they are not clipped.
 SLOW_PASSES = 3
-# If, on average, only a smaller part of the slots than this keeps passes good,
-# no demand for experts explains that.
+# A limit below this fraction of the slots indicates a slow rank, not load.
 INEFFECTIVE_SHARE = 0.25
-# So many passes in a row that are too long while the limit is kept show that
-# fewer requests are no cure.
+# Consecutive late passes within the limit that show it to be ineffective.
 INEFFECTIVE_PASSES = 5
-# A limit is tried again once this part of the slots would keep passes good.
+# The limit is applied again once the mean allows this fraction of the slots.
 RECOVERED_SHARE = 0.5
-# With a smaller part of the slots in use a pause says little of a full group.
+# Pauses at a lower utilization are not extrapolated to a full group.
 MIN_USED = 0.15
-# The limit goes no lower than this part of the slots: by then it is not the
-# number of requests that makes passes slow.
 MIN_LIMIT = 0.2
 
 
 class Pace(NamedTuple):
-    """The pace of one group, as one entry sees it.
+    """Latency estimates of a group, as observed by one entry.
 
     Attributes:
-      limit: Part of the group's slots that may be in use.
-      mean_s: What the requests of a full group add to a pass, on average;
-        None before the first pause.
-      variance: Its variance, in seconds squared.
-      peak_s: The highest estimate of the last seconds.
-      sample_max_s: The largest of the sample in progress.
-      sampled_at: Monotonic seconds of the last whole sample.
-      long_passes: Samples in a row that a stall may explain.
-      late_passes: Passes in a row that were too long while the limit was kept.
-      ineffective: Whether a limit would do no good.
+      limit: Fraction of the group's slots that may be in use.
+      mean_s: Mean time that a fully loaded group adds to a pass; None before
+        the first sample.
+      variance: Variance of that time, in seconds squared.
+      peak_s: Decaying peak of the upper estimate.
+      sample_max_s: Largest value in the current sample window.
+      sampled_at: Monotonic time of the last complete sample, in seconds.
+      long_passes: Consecutive samples that may be a stall.
+      late_passes: Consecutive late passes while within the limit.
+      ineffective: Whether a limit would not improve latency.
     """
 
     limit: float = 1.0
@@ -96,15 +87,15 @@
     now: float,
     fixed_s: float = 0.0,
 ) -> Pace:
-    """Note a pause between two events of a stream.
+    """Record a pause between two events of a stream.
 
     Args:
-      pace: The pace so far.
-      pause_s: The pause, in seconds.
-      max_pause_s: The longest pause that is still good.
-      used: Part of the slots in use.
-      now: Monotonic seconds.
-      fixed_s: What a pass takes without any request, in seconds.
+      pace: Current estimates.
+      pause_s: Observed pause, in seconds.
+      max_pause_s: Longest pause that meets the latency goal, in seconds.
+      used: Fraction of the slots in use.
+      now: Monotonic time in seconds.
+      fixed_s: Duration of a pass without requests, in seconds.
     """
     if used < MIN_USED:
         return pace
@@ -129,29 +120,30 @@
 
 
 def _limited(pace: Pace, max_pause_s: float, fixed_s: float) -> Pace:
-    """Work the limit out from the estimates."""
+    """Return the pace with its limit updated from the estimates."""
     available_s = USABLE_PAUSE_SHARE * max_pause_s - fixed_s
-    usual = available_s / pace.mean_s if pace.mean_s else 1.0
-    recovered = usual >= RECOVERED_SHARE
+    mean_share = available_s / pace.mean_s if pace.mean_s else 1.0
+    recovered = mean_share >= RECOVERED_SHARE
     failing = (
-        usual < INEFFECTIVE_SHARE or pace.late_passes >= INEFFECTIVE_PASSES
+        mean_share < INEFFECTIVE_SHARE
+        or pace.late_passes >= INEFFECTIVE_PASSES
     )
     ineffective = not recovered and (pace.ineffective or failing)
     if pace.ineffective and not ineffective:
-        # What the slow rank cost says nothing of the passes without it.
+        # Estimates made with the slow rank do not apply after recovery.
         pace = pace._replace(peak_s=pace.mean_s, variance=0.0)
-    safe = available_s / pace.peak_s if pace.peak_s else 1.0
-    limit = 1.0 if ineffective else min(1.0, max(MIN_LIMIT, safe))
+    peak_share = available_s / pace.peak_s if pace.peak_s else 1.0
+    limit = 1.0 if ineffective else min(1.0, max(MIN_LIMIT, peak_share))
     return pace._replace(limit=limit, ineffective=ineffective)
 
 
 def _is_long(pace: Pace, added_s: float) -> bool:
-    """Tell whether a sample is far above what passes took on average."""
+    """Return whether a sample is far above the mean."""
     return pace.mean_s is not None and added_s > STALL_FACTOR * pace.mean_s
 
 
 def _sampled(pace: Pace, added_s: float, now: float) -> Pace:
-    """Take one pass into the estimates."""
+    """Add a sample to the estimates."""
     if pace.mean_s is None:
         return Pace(1.0, added_s, 0.0, added_s, 0.0, now)
     if pace.long_passes < SLOW_PASSES:
--- a/packages/reelscale-core/src/reelscale_core/rate_limit.py
+++ b/packages/reelscale-core/src/reelscale_core/rate_limit.py
@@ -1,18 +1,16 @@
-"""How many requests each entry may send to an upstream that names a limit.
-
-An upstream in need states how many requests a second it takes from all
-entries together.  Load pattern: many entries, each with its own callers, and
-one upstream that can bear only a part of what they would send; entries come
-and go, and halves of them may not hear each other.
-
-Let L be the limit, N the entries that were known lately and n those that are
-heard now.  A few entries, the same ones for all that hear each other, may
-send: H = min(n, (L + 5) / 2) of them.  Each has a bucket of one request that
-fills at L x min(1, 1.25 n / N) / H a second.  Where entries are cut into
-parts, the rates of all parts sum up to 1.25 L at most, as their n sum up to
-N.  In two parts at most L + 5 buckets are full.  So 4 s see no more than
-5 L + L + 5 requests, which is one and a half times the limit and 5 more;
-while all hear each other, they see L a second.
+"""Divides the rate limit of an upstream among the entries.
+
+An overloaded upstream states a limit in requests per second for all entries
+together.  Entries come and go, and a network partition may separate them.
+
+Let L be the limit, N the number of recently known entries and n the number of
+reachable ones.  H = min(n, (L + 5) / 2) entries may send; connected entries
+select the same ones.  Each has a token bucket of depth 1 that refills at
+L x min(1, 1.25 n / N) / H per second.  In a partition the values of n sum to
+N, so the rates of all parts sum to at most 1.25 L; with two parts at most
+L + 5 buckets are full.  A window of 4 s thus sees at most 5 L + L + 5
+requests, one and a half times the limit plus 5.  Without a partition the rate
+is L.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -24,24 +22,23 @@
 
 from . import rendezvous
 
-# Requests that an upstream bears beyond its limit in a window, by its pages.
+# Requests beyond the limit that an upstream tolerates per window.
 SLACK = 5
-# Entries that were cut into parts together send at most this many times the
-# limit.
+# Bound on the total rate of partitioned entries, as a multiple of the limit.
 PARTITION_FACTOR = 1.25
-# A limit of nothing still lets a request through now and then, in requests a
-# second of all entries: only an answer can tell that the limit is over.
+# Requests per second of all entries under a limit of 0: only a response can
+# show that the limit was lifted.
 MIN_PER_S = 0.25
-# The depth of a bucket, in requests.
+# Requests.
 BUCKET_DEPTH = 1.0
 
 
 class LimitReport(NamedTuple):
-    """What one start of an upstream said of its limit.
+    """A rate limit stated by one start of an upstream.
 
     Attributes:
-      per_s: Requests a second of all entries; None once there is no limit.
-      received_at: Monotonic seconds at which its answer came.
+      per_s: Requests per second of all entries; None if lifted.
+      received_at: Monotonic time of the response, in seconds.
     """
 
     per_s: float | None
@@ -49,12 +46,12 @@
 
 
 class Entries(NamedTuple):
-    """The entries that share a limit, as one of them knows them.
+    """The entries that share a limit, as seen by one of them.
 
     Attributes:
-      name: The one that asks.
-      reachable: Names of those heard of now, its own included.
-      known: How many were known lately; at least as many.
+      name: Name of the local entry.
+      reachable: Names of the reachable entries, including the local one.
+      known: Number of recently known entries.
     """
 
     name: str
@@ -63,11 +60,11 @@
 
 
 class Bucket(NamedTuple):
-    """What an entry may send now.
+    """Token bucket of one entry.
 
     Attributes:
-      tokens: Requests, with a fraction.
-      refilled_at: Monotonic seconds to which it is refilled.
+      tokens: Requests that may be sent; fractional.
+      refilled_at: Monotonic time of the last refill, in seconds.
     """
 
     tokens: float
@@ -75,36 +72,38 @@
 
 
 def newest(old: LimitReport | None, new: LimitReport) -> LimitReport:
-    """Return what counts of two statements of one start.
+    """Return the newer of two reports of one start.
 
-    One that came late, over another entry, does not undo a newer one.
+    Reports relayed by other entries may arrive out of order.
     """
     return new if old is None or new.received_at > old.received_at else old
 
 
 def senders(per_s: float) -> int:
-    """Return how many entries may send to an upstream with a limit."""
+    """Return how many entries may send to a rate-limited upstream."""
     return max(1, int((per_s + SLACK) / 2))
 
 
 def share_per_s(per_s: float, upstream: str, entries: Entries) -> float:
-    """Return how many requests a second one entry may send.
+    """Return the rate of one entry, in requests per second.
 
     Args:
-      per_s: The limit of all entries together.
-      upstream: The start of the upstream; tells who may send.
-      entries: Who shares it.
+      per_s: Limit of all entries together.
+      upstream: Key of the start of the upstream; selects the senders.
+      entries: The entries that share the limit.
     """
     per_s = max(per_s, MIN_PER_S)
-    among = rendezvous.order(upstream, entries.reachable)[: senders(per_s)]
-    if entries.name not in among:
+    selected = rendezvous.order(upstream, entries.reachable)[: senders(per_s)]
+    if entries.name not in selected:
         return 0.0
-    heard = len(entries.reachable) / max(entries.known, len(entries.reachable))
-    return per_s * min(1.0, PARTITION_FACTOR * heard) / len(among)
+    reachable_share = len(entries.reachable) / max(
+        entries.known, len(entries.reachable)
+    )
+    return per_s * min(1.0, PARTITION_FACTOR * reachable_share) / len(selected)
 
 
 def refilled(bucket: Bucket | None, per_s: float, now: float) -> Bucket:
-    """Return a bucket as it is now; a new one holds what it can."""
+    """Return a bucket refilled up to now; a new one starts full."""
     if bucket is None:
         return Bucket(BUCKET_DEPTH if per_s else 0.0, now)
     tokens = bucket.tokens + per_s * max(0.0, now - bucket.refilled_at)
@@ -112,17 +111,17 @@
 
 
 def debited(bucket: Bucket) -> Bucket:
-    """Take a request out; below zero where it was sent all the same."""
+    """Take one token; negative if the request was sent without one."""
     return bucket._replace(tokens=bucket.tokens - 1.0)
 
 
 def wait_s(bucket: Bucket, per_s: float, *, ahead: int = 0) -> float:
-    """Return when the next request may go, in seconds.
+    """Return the wait until a request may be sent, in seconds.
 
     Args:
-      bucket: As it is now.
-      per_s: What it is refilled with.
-      ahead: Requests that go before it.
+      bucket: Bucket, refilled up to now.
+      per_s: Refill rate, in requests per second.
+      ahead: Requests that are sent before it.
     """
     missing = 1.0 + ahead - bucket.tokens
     if missing <= 0:
@@ -131,9 +130,9 @@
 
 
 def retry_after_s(limits: Iterable[float]) -> float:
-    """Return when a caller should come back whom limits leave no turn.
+    """Return a Retry-After for a rate-limited request, in seconds.
 
     Args:
-      limits: Requests a second that upstreams take of all entries.
+      limits: Limits of the upstreams, in requests per second.
     """
     return 1.0 / max(MIN_PER_S, sum(limits))
--- a/packages/reelscale-core/src/reelscale_core/retry.py
+++ b/packages/reelscale-core/src/reelscale_core/retry.py
@@ -1,36 +1,36 @@
-"""When a request may be sent again, and a budget that bounds storms."""
+"""Retry policy and a retry budget that prevents retry storms."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
 
 from typing import NamedTuple
 
-# Retries are at max_attempts this fraction of first attempts.
+# Maximum ratio of retries to first attempts.
 RATIO = 0.1
-# Retries that may be made before any first attempt has paid for them.
+# Initial and maximum size of the budget, in retries.
 INITIAL = 10.0
 MAX_ATTEMPTS = 4
-# An attempt with less time than this left is not may_retry sending.
+# Attempts are not sent with less time than this before the deadline.
 MIN_REMAINING_S = 0.005
 
 
 class Budget(NamedTuple):
-    """What is left for retries.
+    """Retry budget.
 
     Attributes:
-      tokens: Retries that may be made now.
+      tokens: Available retries.
     """
 
     tokens: float = INITIAL
 
 
 def deposit(budget: Budget, ratio: float = RATIO) -> Budget:
-    """Note a first attempt, which pays for a part of a retry."""
+    """Add the credit of a first attempt."""
     return Budget(min(budget.tokens + ratio, INITIAL))
 
 
 def withdraw(budget: Budget) -> Budget | None:
-    """Pay for a retry; None when the budget does not allow it."""
+    """Take a retry from the budget; None if it is exhausted."""
     if budget.tokens < 1:
         return None
     return Budget(budget.tokens - 1)
@@ -44,14 +44,14 @@
     remaining_s: float,
     max_attempts: int = MAX_ATTEMPTS,
 ) -> bool:
-    """Tell whether a failed attempt may be followed by another.
+    """Return whether a failed attempt may be retried.
 
     Args:
       attempts: Attempts made so far.
-      not_run: Whether the failed attempt is proved not to have run.
-      idempotent: Whether running the request twice does no harm.
-      remaining_s: Seconds left until the caller's deadline.
-      max_attempts: Attempts that may be made in all.
+      not_run: Whether the failed attempt is known not to have run.
+      idempotent: Whether the request may run more than once.
+      remaining_s: Seconds until the deadline.
+      max_attempts: Maximum number of attempts, including the first.
     """
     if attempts >= max_attempts or remaining_s < MIN_REMAINING_S:
         return False
--- a/packages/reelscale-core/src/reelscale_core/routing.py
+++ b/packages/reelscale-core/src/reelscale_core/routing.py
@@ -1,9 +1,8 @@
 """Chooses the upstream for a request.
 
-The score is an expected wait in milliseconds.  It starts from the report
-of the upstream's agent, which lags, and adds what this entry has sent
-since; distance, session home and prompt prefix count as milliseconds too,
-so that one order decides.
+The score is an expected wait in milliseconds: the load that the upstream last
+reported, plus the requests that this entry has sent since.  Distance, session
+affinity and prompt-cache affinity are converted to milliseconds and added.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -14,18 +13,18 @@
 
 from . import rendezvous
 
-# Going to another hall must save more than this many milliseconds.
+# Penalty for an upstream in another data hall, in milliseconds.
 OTHER_HALL_MS = 6.0
-# What reusing a cached prompt prefix saves, in milliseconds.
+# Time saved by a cached prompt prefix, in milliseconds.
 PREFIX_MS = 40.0
-# A session stays at its home unless waiting there costs more than this.
+# A session moves only if its preferred upstream is slower by more than
+# this, in milliseconds.
 SESSION_MS = 400.0
-# One that has refused a request lately is asked after others that have not,
-# unless waiting there costs more than this many milliseconds.
+# Penalty for an upstream that recently refused a request, in milliseconds.
 REFUSED_MS = 60.0
-# A request waits about this long for each one ahead of it in a queue.
+# Expected wait for each request ahead in a queue, in milliseconds.
 QUEUE_MS = 30.0
-# A report older than this says nothing of its own.
+# Reports older than this are ignored, in seconds.
 STALE_S = 5.0
 
 
@@ -36,19 +35,19 @@
       name: Name of the upstream.
       hall: Its data hall.
       slots: Slots granted to this entry.
-      until: Monotonic seconds at which the grant lapses.
+      until: Monotonic time at which the grant expires, in seconds.
       local_in_flight: Requests of this entry in progress there.
-      local_reported: How many of those the report already counts.
+      local_reported: How many of those the report already includes.
       running: Requests in progress there, as reported.
       queued: Requests waiting there, as reported.
-      capacity: Requests that it runs at once.
-      step_ms: Reported time of a step.
-      reported_at: Monotonic seconds of the report.
-      allowed: Whether the circuit lets a request through.
-      refused: Whether it has refused a request lately.
+      capacity: Maximum number of requests that it runs concurrently.
+      step_ms: Reported duration of a step, in milliseconds.
+      reported_at: Monotonic time of the report, in seconds.
+      allowed: Whether its circuit breaker admits a request.
+      refused: Whether it recently refused a request.
       tie_breaker: Orders equal scores, differently for each entry.
-      start: Key of its start, where starts are told apart.
-      group: The group of ranks that it is in, "" while not known.
+      start: Key of its start; empty where starts are not distinguished.
+      group: Group of ranks that it belongs to; empty while unknown.
     """
 
     name: str
@@ -70,12 +69,12 @@
 
 
 class Requirements(NamedTuple):
-    """What a request asks of routing.
+    """Routing requirements of a request.
 
     Attributes:
       hall: Data hall of the entry.
-      session: Key of the session, empty for none.
-      prefix: Key of the leading blocks of the prompt, empty for none.
+      session: Session key; empty for none.
+      prefix: Key of the leading prompt blocks; empty for none.
       tried: Upstreams already tried for this request.
     """
 
@@ -86,13 +85,13 @@
 
 
 class Choice(NamedTuple):
-    """The upstream chosen and why.
+    """The chosen upstream and the reason.
 
     Attributes:
       name: Name of the upstream.
       reason: "session", "prefix" or "wait".
-      wait_ms: Its score.
-      among: How many could have been chosen.
+      wait_ms: Its expected wait, in milliseconds.
+      among: Number of eligible candidates.
     """
 
     name: str
@@ -102,7 +101,7 @@
 
 
 def usable(candidate: Candidate, now: float) -> bool:
-    """Tell whether new work may be sent to an upstream at all."""
+    """Return whether an upstream may receive a new request."""
     return (
         candidate.allowed
         and now < candidate.until
@@ -111,55 +110,71 @@
 
 
 def wait_ms(candidate: Candidate, now: float) -> float:
-    """Estimate how long a new request would wait, in milliseconds."""
+    """Estimate the wait of a new request, in milliseconds."""
     fresh = now - candidate.reported_at < STALE_S
-    since = max(0, candidate.local_in_flight - candidate.local_reported)
-    running = (candidate.running if fresh else 0) + since
+    sent_since = max(0, candidate.local_in_flight - candidate.local_reported)
+    running = (candidate.running if fresh else 0) + sent_since
     ahead = (candidate.queued if fresh else 0) + max(
         0, running - candidate.capacity
     )
-    share = running / max(1, candidate.capacity)
-    return ahead * QUEUE_MS + share * candidate.step_ms
+    utilization = running / max(1, candidate.capacity)
+    return ahead * QUEUE_MS + utilization * candidate.step_ms
 
 
 def used(candidates: Sequence[Candidate]) -> float:
-    """Return the part of the slots of all that is in use."""
-    slots = sum(item.capacity for item in candidates)
-    busy = sum(item.running + item.queued for item in candidates)
+    """Return the fraction of all slots that is in use."""
+    slots = sum(candidate.capacity for candidate in candidates)
+    busy = sum(
+        candidate.running + candidate.queued for candidate in candidates
+    )
     return busy / slots if slots else 0.0
 
 
 def choose(
-    candidates: Iterable[Candidate], wish: Requirements, now: float
+    candidates: Iterable[Candidate], requirements: Requirements, now: float
 ) -> Choice | None:
-    """Choose an upstream, or None when none may take new work.
+    """Choose an upstream; None if no candidate is usable.
 
     Args:
-      candidates: All upstreams of the target that this entry knows.
-      wish: What the request asks for.
-      now: Monotonic seconds.
+      candidates: Known upstreams of the target.
+      requirements: Routing requirements of the request.
+      now: Monotonic time in seconds.
     """
-    fit = [item for item in candidates if usable(item, now)]
-    fresh = [item for item in fit if item.name not in wish.tried]
-    fit = fresh or fit
-    if not fit:
+    eligible = [
+        candidate for candidate in candidates if usable(candidate, now)
+    ]
+    untried = [
+        candidate
+        for candidate in eligible
+        if candidate.name not in requirements.tried
+    ]
+    eligible = untried or eligible
+    if not eligible:
         return None
-    names = [item.name for item in fit]
-    home = rendezvous.choose(wish.session, names) if wish.session else None
-    warm = rendezvous.choose(wish.prefix, names) if wish.prefix else None
-
-    def score(item: Candidate) -> tuple[float, int, str]:
-        cost = wait_ms(item, now)
-        cost += OTHER_HALL_MS if item.hall != wish.hall else 0.0
-        cost += REFUSED_MS if item.refused else 0.0
-        cost -= SESSION_MS if item.name == home else 0.0
-        cost -= PREFIX_MS if item.name == warm else 0.0
-        return cost, item.tie_breaker, item.name
-
-    best = min(fit, key=score)
+    names = [candidate.name for candidate in eligible]
+    session_owner = (
+        rendezvous.choose(requirements.session, names)
+        if requirements.session
+        else None
+    )
+    prefix_owner = (
+        rendezvous.choose(requirements.prefix, names)
+        if requirements.prefix
+        else None
+    )
+
+    def score(candidate: Candidate) -> tuple[float, int, str]:
+        cost = wait_ms(candidate, now)
+        cost += OTHER_HALL_MS if candidate.hall != requirements.hall else 0.0
+        cost += REFUSED_MS if candidate.refused else 0.0
+        cost -= SESSION_MS if candidate.name == session_owner else 0.0
+        cost -= PREFIX_MS if candidate.name == prefix_owner else 0.0
+        return cost, candidate.tie_breaker, candidate.name
+
+    best = min(eligible, key=score)
     reason = "wait"
-    if best.name == home:
+    if best.name == session_owner:
         reason = "session"
-    elif best.name == warm:
+    elif best.name == prefix_owner:
         reason = "prefix"
-    return Choice(best.name, reason, wait_ms(best, now), len(fit))
+    return Choice(best.name, reason, wait_ms(best, now), len(eligible))
--- a/packages/reelscale-core/src/reelscale_core/schedule.py
+++ b/packages/reelscale-core/src/reelscale_core/schedule.py
@@ -1,17 +1,15 @@
-"""Brings a group onto a new layout between two steps, for all ranks.
-
-The ranks run in lock-step, so a step needs all of them anyway: all ranks
-are the quorum.  A change is prepared on every rank for a step that none
-has begun: from then on a rank does not begin that step until it is told
-to commit.  When every rank has promised, the change is decided at every
-rank, and only when every rank knows the decision is it committed.  So a
-rank that began the step and then lost everything leaves the decision with
-all others.  A rank that hears nothing waits at the step, and with it the
-group; it never guesses.  The holder of the group's lease does this; its
-successor, with a higher fence, asks all ranks and finishes or abandons
-what it finds.
-
-The ranks' side is in lockstep; this is the holder's, and both are pure.
+"""Coordinates layout changes of a group between two steps.
+
+The ranks run in lock-step, so the quorum of a change is all of them.  The
+holder of the group's lease is the coordinator and uses three phases.  Prepare:
+every rank promises not to begin a future step before the commit.  Decide:
+every rank learns that all have promised.  Commit: the ranks run that step on
+the new layout.  The decide phase ensures that the decision survives at all
+other ranks if a rank begins the step and then loses its state.  A rank that
+receives no order blocks at the step, and with it the group.  A new holder,
+with a higher fence, probes all ranks and completes or aborts the change.
+
+This module is the coordinator; lockstep is the participant.  Both are pure.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -22,18 +20,18 @@
 
 from . import lockstep
 
-# The prepared step lies this many steps ahead of the furthest rank; at
-# least two, since a rank that was lost may have been one step ahead.
+# Distance of the prepared step from the most advanced rank; at least two,
+# since a rank that lost its state may have been one step ahead.
 MARGIN_STEPS = 8
 
 
 class Round(NamedTuple):
-    """What the holder does next.
+    """Next actions of the holder.
 
     Attributes:
       orders: Orders to send, by member.
       done: Whether all ranks are on the target layout.
-      waiting: For whom or what the holder waits, for people.
+      waiting: What the holder waits for, for log lines.
     """
 
     orders: dict[str, lockstep.Order]
@@ -45,17 +43,16 @@
     seen: Mapping[str, lockstep.Rank],
     replies: Mapping[str, lockstep.Rank | None],
 ) -> dict[str, lockstep.Rank]:
-    """Take the replies of one round into what a holder knows.
+    """Merge the replies of one round into the holder's view.
 
-    A rank that is newly seen to have lost everything makes all that was
-    heard of the running ones worthless: it may be from before the loss, since
-    when the group has gone on.  They are asked again.  Ranks known to hold
-    nothing, and not asked in this round, still hold nothing: only an order of
-    this holder could have changed that.
+    A newly detected loss of state invalidates the states of running ranks:
+    they may predate the loss, and the group may have advanced since.  Those
+    ranks are probed again.  Ranks known to be empty stay so, since only an
+    order of this holder can change that.
 
     Args:
-      seen: Newest state of each member, from earlier rounds.
-      replies: Replies to this round's orders; None where none came.
+      seen: Newest state of each member from earlier rounds.
+      replies: Replies to the orders of this round; None if missing.
     """
     fresh = {name: rank for name, rank in replies.items() if rank}
     lost = {
@@ -87,16 +84,16 @@
     seq: int,
     margin: int = MARGIN_STEPS,
 ) -> Round:
-    """Decide the holder's next orders from the newest replies.
+    """Return the next orders of the holder.
 
     Args:
-      ranks_by_member: Newest state of each member that has answered a
-        probe under this fence.
+      ranks_by_member: Newest state of each member that answered a probe
+        under this fence.
       members: All members of the group.
-      target: Layout version that the configuration asks for.
+      target: Configured layout version.
       fence: Fence of the holder's lease.
-      seq: Number of this round, higher than of any before it.
-      margin: How far ahead of the furthest rank the prepared step lies.
+      seq: Sequence number of this round; strictly increasing.
+      margin: Distance of the prepared step from the most advanced rank.
     """
     stamp = lockstep.Stamp(fence, seq)
     unresponsive = members - ranks_by_member.keys()
@@ -122,7 +119,7 @@
 def _bootstrap(
     ranks: Mapping[str, lockstep.Rank], target: int, stamp: lockstep.Stamp
 ) -> Round:
-    """Start a group of which no rank holds anything."""
+    """Start a group of which all ranks are empty."""
     return _staged_first(
         ranks,
         dict.fromkeys(ranks, lockstep.Adopt(*stamp, target, 0)),
@@ -134,10 +131,10 @@
 def _rejoin(
     ranks: Mapping[str, lockstep.Rank], lost: set[str], stamp: lockstep.Stamp
 ) -> Round:
-    """Give ranks that lost everything the schedule of the others.
+    """Give the schedule of the group to ranks that lost their state.
 
-    The others cannot finish the step that they are at, so what they hold
-    stands still: they are all on one version for it.
+    The other ranks cannot complete their current step without them, so their
+    state is stable and they all use one version for that step.
     """
     others = [rank for name, rank in ranks.items() if name not in lost]
     furthest_behind = min(others, key=lockstep.reached_step)
@@ -167,7 +164,7 @@
     versions: tuple[int, ...],
     stamp: lockstep.Stamp,
 ) -> Round:
-    """Stage what is missing before the orders that need it."""
+    """Stage missing layouts before sending the orders that need them."""
     first: dict[str, lockstep.Order] = {}
     for name in orders:
         for version in versions:
@@ -181,7 +178,7 @@
     done: lockstep.Rank,
     stamp: lockstep.Stamp,
 ) -> Round:
-    """Carry a decided change through: decide everywhere, then commit."""
+    """Complete a decided change: decide at all ranks, then commit."""
     version, step = done.next_version, done.next_step
     waiting = {n: r for n, r in ranks.items() if r.next_version}
     orders: dict[str, lockstep.Order] = {
@@ -230,7 +227,7 @@
     ahead: int,
     stamp: lockstep.Stamp,
 ) -> Round:
-    """Let the ranks before a decided change follow those past it."""
+    """Commit at ranks that have not reached a change others have passed."""
     orders: dict[str, lockstep.Order] = {
         name: lockstep.Probe(*stamp) for name in ranks
     }
@@ -247,14 +244,14 @@
     stamp: lockstep.Stamp,
     margin: int,
 ) -> Round:
-    """Get a promise of every rank for one step, then decide."""
+    """Collect promises of all ranks for one step, then decide."""
     promised = {
         rank.next_step
         for rank in ranks.values()
         if rank.next_version == target
     }
-    every = all(rank.next_version == target for rank in ranks.values())
-    if every and len(promised) == 1:
+    all_prepared = all(rank.next_version == target for rank in ranks.values())
+    if all_prepared and len(promised) == 1:
         decide = lockstep.Decide(*stamp, target, promised.pop())
         return Round(dict.fromkeys(ranks, decide), waiting="decisions")
     step = max(lockstep.reached_step(rank) for rank in ranks.values()) + margin
--- a/packages/reelscale-core/src/reelscale_core/suspicion.py
+++ b/packages/reelscale-core/src/reelscale_core/suspicion.py
@@ -1,12 +1,12 @@
-"""Finds the request that crashes upstreams among those beside it.
-
-Load pattern: a request crashes every upstream that begins to run it, and it
-comes again, at any entry.  Whatever else ran there comes again as well, so
-counting alone would condemn the innocent.  All that were in progress on a
-start as it crashed are suspected.  One that was there at two crashes runs
-apart from other suspects; who is the only suspect as its third upstream
-crashes is convicted, and after two if nothing else at all was running at
-either.  A suspect that ends well is cleared for good.
+"""Identifies requests that crash upstreams (poison requests).
+
+Clients retry such a request at any entry, and also the requests that were
+running beside it, so a crash count alone would convict innocent requests.
+Every request in progress on a start when it crashed becomes a suspect.  After
+two crashes a suspect is isolated from other suspects.  It is convicted if it
+is the only suspect at its third crash, or if it was the only request running
+at each of two crashes.  A suspect that completes successfully is cleared
+permanently.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -17,23 +17,23 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# Crashes after which a request runs only where no other suspect is.
+# Crashes after which a suspect is isolated from other suspects.
 ISOLATED_AFTER = 2
-# Crashes after which the only suspect is convicted.
+# Crashes after which a sole suspect is convicted.
 CONVICTED_AFTER = 3
-# The same where nothing else was running at any of them.
+# The same if no other request was running at any of the crashes.
 SOLE_REQUEST_CONVICTED_AFTER = 2
-# A record lapses after this long without a change, in seconds: callers come
-# again within seconds, and a mistake must not last.
+# Time from the last update until a record expires; bounds the effect of a
+# wrong conviction.
 RETENTION_S = 300.0
-# So many requests are remembered, some hundred bytes each; one crash adds as
-# many as an upstream has in progress.
+# Each record takes a few hundred bytes; a crash adds one for each request in
+# progress.
 MAX_RECORDS = 1024
 DIGEST_BYTES = 8
 
 
 class Verdict(enum.IntEnum):
-    """What is held of a request that was there at a crash."""
+    """Assessment of a request that was in progress at a crash."""
 
     SUSPECTED = 0
     CLEARED = 1
@@ -41,13 +41,13 @@
 
 
 class Record(NamedTuple):
-    """What is known of one such request.
+    """Crash history of a request.
 
     Attributes:
-      crashed: Hashes of the starts that crashed while it was there.
-      sole_request_crashes: At how many of them nothing else was running.
-      verdict: What is held of it.
-      updated_at: Monotonic seconds of the newest change.
+      crashed: Hashes of the starts that crashed while it was in progress.
+      sole_request_crashes: Number of those at which no other request ran.
+      verdict: Current assessment.
+      updated_at: Monotonic time of the last change, in seconds.
     """
 
     crashed: frozenset[int] = frozenset()
@@ -57,19 +57,19 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether it may only run where no other suspect is."""
-        many = len(self.crashed) >= ISOLATED_AFTER
-        return many and self.verdict is Verdict.SUSPECTED
+        """Whether it may only run where no other suspect runs."""
+        repeated = len(self.crashed) >= ISOLATED_AFTER
+        return repeated and self.verdict is Verdict.SUSPECTED
 
 
 class Crash(NamedTuple):
-    """The crash of one start of an upstream, as one entry saw it.
+    """A crash of one start of an upstream, as observed by one entry.
 
     Attributes:
       start: Hash of the start.
-      digests: The requests that this entry had in progress there.
-      other_suspects: Suspects that other entries had there.
-      sole_request: Whether one request was all that was running there.
+      digests: Requests of this entry in progress there.
+      other_suspects: Suspects of other entries in progress there.
+      sole_request: Whether only one request was running there.
     """
 
     start: int
@@ -81,23 +81,23 @@
 def digest(
     *, workspace: str, method: str, path: str, body: bytes, secret: str = ""
 ) -> int:
-    """Return what names a request wherever it comes, whatever its id.
+    """Return a digest that identifies a request across retries and entries.
 
     Args:
-      workspace: Whose it is.
+      workspace: Workspace of the request.
       method: HTTP method.
-      path: Path and query.
-      body: The whole body.
-      secret: What all entries know and others do not.
+      path: Path and query string.
+      body: Complete body.
+      secret: Secret shared by all entries.
     """
     key = hashlib.blake2b(f"{workspace}\0{secret}".encode()).digest()
     text = f"{method} {path}\0".encode("utf-8", "surrogateescape") + body
-    made = hashlib.blake2b(text, digest_size=DIGEST_BYTES, key=key)
-    return int.from_bytes(made.digest(), "big", signed=True)
+    hashed = hashlib.blake2b(text, digest_size=DIGEST_BYTES, key=key)
+    return int.from_bytes(hashed.digest(), "big", signed=True)
 
 
 def merged(old: Record | None, new: Record) -> Record:
-    """Return what two entries know of a request together."""
+    """Merge the records that two entries hold of a request."""
     if old is None:
         return new
     verdict = max(old.verdict, new.verdict)
@@ -112,18 +112,18 @@
 
 
 class Suspects:
-    """The requests that were there at crashes, in bounded memory."""
+    """Records of suspected requests, bounded in number."""
 
     def __init__(self) -> None:
         self.by_digest: dict[int, Record] = {}
 
     def record_crash(self, crash: Crash, now: float) -> list[int]:
-        """Take a crash; return the digests that it convicts."""
-        known = {d for d in crash.digests if self._suspected(d)}
-        rivals = known | crash.other_suspects
+        """Record a crash; return the digests that it convicts."""
+        local = {d for d in crash.digests if self._is_suspected(d)}
+        suspects = local | crash.other_suspects
         convicted = []
-        for item in crash.digests:
-            old = self.by_digest.get(item, Record(updated_at=now))
+        for digest in crash.digests:
+            old = self.by_digest.get(digest, Record(updated_at=now))
             if old.verdict is not Verdict.SUSPECTED:
                 continue
             new = old._replace(
@@ -132,55 +132,57 @@
                 + crash.sole_request,
                 updated_at=now,
             )
-            if _is_convicted(new, only=rivals <= {item}):
+            if _is_convicted(new, only=suspects <= {digest}):
                 new = new._replace(verdict=Verdict.CONVICTED)
-                convicted.append(item)
-            self._keep(item, new)
+                convicted.append(digest)
+            self._store(digest, new)
         return convicted
 
-    def clear(self, item: int, now: float) -> bool:
-        """Clear a request for good; tell whether that changes anything."""
-        old = self.by_digest.get(item)
+    def clear(self, digest: int, now: float) -> bool:
+        """Clear a suspect permanently; return whether it was suspected."""
+        old = self.by_digest.get(digest)
         if old is None or old.verdict is not Verdict.SUSPECTED:
             return False
-        self._keep(item, old._replace(verdict=Verdict.CLEARED, updated_at=now))
+        self._store(
+            digest, old._replace(verdict=Verdict.CLEARED, updated_at=now)
+        )
         return True
 
-    def merge(self, item: int, record: Record) -> None:
-        """Take what another entry knows."""
-        self._keep(item, merged(self.by_digest.get(item), record))
+    def merge(self, digest: int, record: Record) -> None:
+        """Merge a record received from another entry."""
+        self._store(digest, merged(self.by_digest.get(digest), record))
 
-    def record(self, item: int, now: float) -> Record | None:
-        """Return what is known of a request, None once that has lapsed."""
-        found = self.by_digest.get(item)
-        if found is not None and now - found.updated_at > RETENTION_S:
-            del self.by_digest[item]
+    def record(self, digest: int, now: float) -> Record | None:
+        """Return the record of a request; None if absent or expired."""
+        record = self.by_digest.get(digest)
+        if record is not None and now - record.updated_at > RETENTION_S:
+            del self.by_digest[digest]
             return None
-        return found
+        return record
 
     def expire(self, now: float) -> None:
-        """Forget what has lapsed."""
-        for item in list(self.by_digest):
-            self.record(item, now)
-
-    def _suspected(self, item: int) -> bool:
-        found = self.by_digest.get(item)
-        return found is not None and found.verdict is Verdict.SUSPECTED
-
-    def _keep(self, item: int, record: Record) -> None:
-        """Keep a record, the newest last."""
-        self.by_digest.pop(item, None)
-        self.by_digest[item] = record
+        """Remove expired records."""
+        for digest in list(self.by_digest):
+            self.record(digest, now)
+
+    def _is_suspected(self, digest: int) -> bool:
+        record = self.by_digest.get(digest)
+        return record is not None and record.verdict is Verdict.SUSPECTED
+
+    def _store(self, digest: int, record: Record) -> None:
+        """Store a record, most recent last, and evict beyond the bound."""
+        self.by_digest.pop(digest, None)
+        self.by_digest[digest] = record
         while len(self.by_digest) > MAX_RECORDS:
             del self.by_digest[_eviction_candidate(self.by_digest.items())]
 
 
 def _is_convicted(record: Record, *, only: bool) -> bool:
-    """Tell whether a request must be what crashes upstreams.
+    """Return whether a record proves that a request crashes upstreams.
 
     Args:
-      record: What is known of it, the newest crash included.
-      only: Whether it was the only suspect at that crash.
+      record: Crash history, including the newest crash.
+      only: Whether it was the only suspect at the newest crash.
     """
     if (
         record.sole_request_crashes >= SOLE_REQUEST_CONVICTED_AFTER
@@ -191,9 +193,10 @@
 
 
 def _eviction_candidate(rows: Iterable[tuple[int, Record]]) -> int:
-    """Return the request whose record is given up first.
+    """Return the digest of the record to evict.
 
-    Convictions are kept longest, then those at many crashes, then the newest.
+    Convicted requests are kept longest, then those with more crashes, then the
+    most recently updated.
     """
     return min(
         rows,
--- a/packages/reelscale-core/src/reelscale_core/waiting.py
+++ b/packages/reelscale-core/src/reelscale_core/waiting.py
@@ -1,20 +1,19 @@
-"""How many requests may wait at an upstream until it has a slot for them."""
+"""Bounds the queue of requests that wait for a slot at an upstream."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
 
-# Requests may wait at an upstream for this part of the time in which an
-# answer is wanted; the rest is for the work itself.
+# Fraction of the latency goal that may be spent in the queue.
 QUEUE_TIME_SHARE = 0.3
 
 
 def queue_capacity(slots: int, *, goal_s: float, takes_s: float | None) -> int:
-    """Return how many requests may wait at an upstream for a slot.
+    """Return how many requests may wait at an upstream.
 
     Args:
-      slots: Requests that it works on at once.
-      goal_s: Time in which an answer is wanted.
-      takes_s: How long a request takes, None while that is not known.
+      slots: Requests that it processes concurrently.
+      goal_s: Latency goal in seconds.
+      takes_s: Mean duration of a request in seconds; None while unknown.
     """
     if not takes_s:
         return 0
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
@@ -220,7 +220,7 @@
         _send_events(active, head, complete)
         active.context.outages.record_progress(active.request, active.name)
         last_at = _record_pause(active, last_at)
-    if cutter.rest:
+    if cutter.pending:
         raise _garbled(active)
     if not out.begun:
         out.begin(head.status, head.headers)
