--- a/features/models/rate_limits.py
+++ b/features/models/rate_limits.py
@@ -75,7 +75,7 @@
         """Send a request if that is allowed; the answer tells the limit."""
         if self.limits.blocks(START):
             return False
-        self.limits.sent(START)
+        self.limits.record_sent(START)
         self.world.arrived(self)
         return True
 
--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -79,7 +79,7 @@
 
 
 FAULTS = {
-    "heeding": (backoffs.Backoffs, "left_s", lambda self, start: 0.0),
+    "heeding": (backoffs.Backoffs, "remaining_s", lambda self, start: 0.0),
     "openings": (direct, "_check_accepted", lambda *_: None),
     "lists": (directory.Directory, "_new_view", _forgetful_view),
 }
@@ -196,7 +196,7 @@
         reactor=task.Clock(),
         clock=context.clock,
         metrics=metrics.Metrics(),
-        on_over=lambda: None,
+        on_expired=lambda: None,
     )
 
 
@@ -218,8 +218,8 @@
 
 @then("it wants nothing for {seconds:g} s more")
 def _(context, seconds):
-    left_s = context.backoffs.left_s(context.start)
-    assert abs(left_s - seconds) < 0.001, left_s
+    remaining_s = context.backoffs.remaining_s(context.start)
+    assert abs(remaining_s - seconds) < 0.001, remaining_s
 
 
 @given(
--- a/features/steps/entry_groups_steps.py
+++ b/features/steps/entry_groups_steps.py
@@ -77,13 +77,13 @@
 
 @then("no request is refused at the entry")
 def _(context):
-    assert context.outages.lets_through(context.asked)
+    assert context.outages.allows(context.asked)
     assert not context.outages.out(context.asked)
 
 
 @then("requests are refused at the entry")
 def _(context):
-    assert not context.outages.lets_through(context.asked)
+    assert not context.outages.allows(context.asked)
     assert context.outages.out(context.asked)
 
 
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -14,7 +14,7 @@
 
 def _forgetful_view(self, item, real=directory.Directory._new_view):
     """Begin to see a start, and forget that it leaves."""
-    self.departures._heard_at_by_start.pop(item.start.key, None)
+    self.departures._received_at_by_start.pop(item.start.key, None)
     return real(self, item)
 
 
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -152,7 +152,7 @@
     )
     for start, per_s in (("i-1", 0.0), ("i-2", 4.0)):
         made.record_limit(start, base.RequestsPerSecond(per_s))
-        made.sent(start)
+        made.record_sent(start)
         assert made.blocks(start), start
 
 
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -99,7 +99,7 @@
         reactor=task.Clock(),
         clock=clocks,
         metrics=metrics.Metrics(),
-        on_over=lambda: None,
+        on_expired=lambda: None,
     )
     start = announcement.Start("u", None)
     made.record_backoff(start, 3.0)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/backoffs.py
@@ -1,7 +1,7 @@
-"""Keeps which upstreams want no requests from this entry, and until when.
+"""Tracks the backoffs that upstreams request of this entry.
 
-What one start of an upstream asked does not hold for another, and outlasts
-its place in the list: a list that is read again undoes nothing.
+A backoff applies to one start of an upstream and does not depend on the
+list of upstreams: reading the list again does not reset it.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -16,12 +16,12 @@
 from . import wakeup
 
 LOG = logs.Logger("backoffs")
-# So many starts of upstreams are remembered; those that end last.
-MOST_KEPT = 4096
+# Starts of upstreams remembered; the latest to end are kept.
+MAX_RECORDS = 4096
 
 
 class Backoffs:
-    """The backoffs that upstreams asked of this entry, by their start."""
+    """The backoffs that upstreams requested, by start."""
 
     def __init__(
         self,
@@ -29,27 +29,27 @@
         reactor: Any,
         clock: clock.Clock,
         metrics: metrics.Metrics,
-        on_over: Callable[[], None],
+        on_expired: Callable[[], None],
     ) -> None:
-        """Make it.
+        """Initialize without backoffs.
 
         Args:
-          reactor: The loop.
-          clock: The time.
-          metrics: Counts what upstreams ask.
-          on_over: Called once an upstream that was in the way may be asked.
+          reactor: The reactor.
+          clock: The clock.
+          metrics: Counts the backoffs that upstreams request.
+          on_expired: Called once the backoff of a blocked upstream expires.
         """
         self._clock = clock
         self._metrics = metrics
         self._wakeup = wakeup.Wakeup(
-            reactor=reactor, clock=clock, function=on_over
+            reactor=reactor, clock=clock, function=on_expired
         )
         self._backoffs_by_start: dict[str, backoff.Backoff] = {}
 
     def record_backoff(
         self, start: announcement.Start, seconds: float
     ) -> None:
-        """Take what a refusal of an upstream asks."""
+        """Record the backoff requested by a refusal."""
         now = self._clock.monotonic()
         old = self._backoffs_by_start.get(start.key)
         self._backoffs_by_start[start.key] = backoff.extended(
@@ -57,43 +57,43 @@
         )
         self._metrics.backoffs.inc({"upstream": start.name})
         LOG.info(
-            "An upstream wants no requests for a while.",
+            "An upstream requested a backoff.",
             upstream=start.key,
             seconds=seconds,
             left_before_s=round(backoff.remaining_s(old, now), 3),
         )
-        self._forget(now)
+        self._expire(now)
 
     def on_restart(
         self, before: announcement.Start, start: announcement.Start
     ) -> None:
-        """Forget a start in whose place another is, but for what is its."""
-        found = self._backoffs_by_start.pop(before.key, None)
-        if found is not None and start.was_running_at(found.received_at):
-            self._backoffs_by_start[start.key] = found
+        """Drop the backoff of a replaced start, unless the new one sent it."""
+        pending = self._backoffs_by_start.pop(before.key, None)
+        if pending is not None and start.was_running_at(pending.received_at):
+            self._backoffs_by_start[start.key] = pending
 
     def blocks(self, start: announcement.Start) -> bool:
-        """Tell whether a start wants nothing now; who waits is woken then."""
-        left_s = self.left_s(start)
-        if left_s:
-            self._wakeup.within(left_s)
-        return left_s > 0
+        """Return whether a start is in backoff, and schedule its expiry."""
+        remaining_s = self.remaining_s(start)
+        if remaining_s:
+            self._wakeup.within(remaining_s)
+        return remaining_s > 0
 
-    def left_s(self, start: announcement.Start) -> float:
-        """Return for how long a start wants nothing more; 0 if it may."""
-        found = self._backoffs_by_start.get(start.key)
-        return backoff.remaining_s(found, self._clock.monotonic())
+    def remaining_s(self, start: announcement.Start) -> float:
+        """Return the seconds left of the backoff of a start, 0 without one."""
+        pending = self._backoffs_by_start.get(start.key)
+        return backoff.remaining_s(pending, self._clock.monotonic())
 
     def count(self) -> int:
-        """Return how many starts want nothing just now."""
-        self._forget(self._clock.monotonic())
+        """Return the number of starts in backoff."""
+        self._expire(self._clock.monotonic())
         return len(self._backoffs_by_start)
 
-    def _forget(self, now: float) -> None:
-        """Forget what is over, and what ends first if there is too much."""
+    def _expire(self, now: float) -> None:
+        """Drop expired backoffs and, beyond the cap, those that end first."""
         rows = sorted(
             self._backoffs_by_start.items(), key=lambda row: -row[1].until
         )
         self._backoffs_by_start = {
-            key: item for key, item in rows[:MOST_KEPT] if item.until > now
+            key: item for key, item in rows[:MAX_RECORDS] if item.until > now
         }
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/crash_evidence.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/crash_evidence.py
@@ -1,9 +1,9 @@
-"""Tells a crash of an upstream from other reasons for a lost exchange.
+"""Distinguishes crashes of upstreams from other causes of lost exchanges.
 
-A lost exchange alone is no evidence: a connection may be cut or reset, and an
-upstream may leave.  It crashed if it was listed, was not leaving, has no
-connection to us left and nothing listens at its address any more, or another
-start of it has announced itself.
+A lost exchange alone is no evidence: its connection may have been reset, or
+the upstream be leaving.  An upstream has crashed if a later start of it was
+announced, or if it is listed, is not leaving, has no open connection to this
+entry and refuses new ones.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -15,25 +15,25 @@
 from reelscale_core import announcement
 from twisted.internet import endpoints, error, protocol
 
-# A look takes no longer than this, in seconds; what does not answer at all is
-# cut off, which is no crash.
-LOOK_MOST_S = 1.0
+# Timeout of a probe in seconds.  An address that does not answer at all is
+# partitioned, which is no evidence of a crash.
+PROBE_TIMEOUT_S = 1.0
 
 
 class Upstreams(Protocol):
-    """What is asked of the controller that knows the upstreams."""
+    """The controller that tracks the upstreams."""
 
     def listed(self, start: announcement.Start) -> bool:
-        """Tell whether a start is still listed and not leaving."""
+        """Return whether a start is still listed and not leaving."""
         ...
 
     def restarted(self, start: announcement.Start) -> bool:
-        """Tell whether another start has taken its place."""
+        """Return whether a later start has replaced it."""
         ...
 
 
 class CrashEvidence:
-    """Looks at an upstream whose exchange broke."""
+    """Decides whether an upstream whose exchange was lost has crashed."""
 
     def __init__(
         self,
@@ -42,40 +42,41 @@
         upstreams: Upstreams,
         open_connections: Callable[[str], int],
     ) -> None:
-        """Make it.
+        """Initialize the check.
 
         Args:
-          reactor: The loop.
-          upstreams: Knows which starts are listed.
-          open_connections: Gives the connections that are open to an address.
+          reactor: The reactor.
+          upstreams: Lists the starts of upstreams.
+          open_connections: Returns the number of connections open to an
+            address.
         """
         self._reactor = reactor
         self._upstreams = upstreams
-        self._open_to = open_connections
+        self._open_connections = open_connections
 
     async def has_crashed(self, upstream: announcement.Announcement) -> bool:
-        """Tell whether a start has crashed, by what can be seen now."""
+        """Return whether a start has crashed, on present evidence."""
         if self._upstreams.restarted(upstream.start):
             return True
         if not self._upstreams.listed(upstream.start):
             return False
-        if self._open_to(upstream.address):
+        if self._open_connections(upstream.address):
             return False
         return await self._refuses(upstream.address)
 
     async def _refuses(self, address: str) -> bool:
-        """Tell whether nothing listens at an address."""
+        """Return whether an address refuses connections."""
         host, _, port = address.rpartition(":")
-        point = endpoints.TCP4ClientEndpoint(
-            self._reactor, host, int(port), timeout=LOOK_MOST_S
+        endpoint = endpoints.TCP4ClientEndpoint(
+            self._reactor, host, int(port), timeout=PROBE_TIMEOUT_S
         )
         try:
-            opened = await endpoints.connectProtocol(
-                point, protocol.Protocol()
+            connected = await endpoints.connectProtocol(
+                endpoint, protocol.Protocol()
             )
         except error.ConnectionRefusedError:
             return True
         except error.ConnectError:
             return False
-        opened.transport.abortConnection()
+        connected.transport.abortConnection()
         return False
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/departures.py
@@ -1,7 +1,7 @@
-"""Keeps which upstreams have said in an answer that they leave.
+"""Tracks the upstreams that announced in an answer that they leave.
 
-What one start said does not hold for another, and outlasts its place in the
-list, which tells the same later or, while it cannot be read, not at all.
+An announcement applies to one start and does not depend on the list of
+upstreams, which reports it later or, while unreadable, not at all.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -15,51 +15,52 @@
 from .. import logs
 
 LOG = logs.Logger("departures")
-# So many starts are remembered, the newest; those that have ended are asked
-# nothing any more.
-MOST_KEPT = 4096
+# Starts remembered; the oldest are dropped first.
+MAX_RECORDS = 4096
 
 
 class Departures:
-    """The upstreams that leave, by their start."""
+    """The upstreams that are leaving, by start."""
 
     def __init__(
         self, *, clock: clock.Clock, on_change: Callable[[], None]
     ) -> None:
-        """Make it.
+        """Initialize without departures.
 
         Args:
-          clock: The time.
-          on_change: Called once an upstream has said that it leaves.
+          clock: The clock.
+          on_change: Called once an upstream announces that it leaves.
         """
         self._clock = clock
         self._on_change = on_change
-        # Unix seconds at which it was first heard.
-        self._heard_at_by_start: collections.OrderedDict[str, float] = (
+        # Unix seconds at which the announcement was first received.
+        self._received_at_by_start: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     def record_leaving(self, start: announcement.Start) -> None:
-        """Take that an answer says that its upstream leaves."""
-        if start.key in self._heard_at_by_start:
+        """Record that an answer announced that its upstream leaves."""
+        if start.key in self._received_at_by_start:
             return
-        LOG.info("An upstream says that it leaves.", upstream=start.key)
-        self._keep(start, self._clock.wall())
+        LOG.info(
+            "An upstream announced that it is leaving.", upstream=start.key
+        )
+        self._store(start, self._clock.wall())
         self._on_change()
 
     def leaving(self, start: announcement.Start) -> bool:
-        """Tell whether a start has said that it leaves."""
-        return start.key in self._heard_at_by_start
+        """Return whether a start announced that it leaves."""
+        return start.key in self._received_at_by_start
 
     def on_restart(
         self, before: announcement.Start, start: announcement.Start
     ) -> None:
-        """Forget a start in whose place another is, but for what is its."""
-        heard_at = self._heard_at_by_start.pop(before.key, None)
-        if heard_at is not None and start.was_running_at(heard_at):
-            self._keep(start, heard_at)
+        """Drop the record of a replaced start, unless the new one sent it."""
+        received_at = self._received_at_by_start.pop(before.key, None)
+        if received_at is not None and start.was_running_at(received_at):
+            self._store(start, received_at)
 
-    def _keep(self, start: announcement.Start, heard_at: float) -> None:
-        self._heard_at_by_start[start.key] = heard_at
-        if len(self._heard_at_by_start) > MOST_KEPT:
-            self._heard_at_by_start.popitem(last=False)
+    def _store(self, start: announcement.Start, received_at: float) -> None:
+        self._received_at_by_start[start.key] = received_at
+        if len(self._received_at_by_start) > MAX_RECORDS:
+            self._received_at_by_start.popitem(last=False)
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/granted_view.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/granted_view.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one upstream by the heartbeats of its agent."""
+"""The view that an entry has of one upstream, by its agent's heartbeats."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,11 +10,11 @@
 from reelscale_wire.gen import ttypes
 from twisted.internet import defer
 
-# An upstream that this entry has used this recently keeps its grant fresh;
-# others are asked for one when a request comes, and now and then besides.
-WARM_S = 5.0
-IDLE_EVERY_S = 20.0
-# Monotonic seconds of what has not happened.
+# Upstreams used within this many seconds get heartbeats continuously; others
+# on demand and at IDLE_INTERVAL_S.
+ACTIVE_S = 5.0
+IDLE_INTERVAL_S = 20.0
+# Monotonic time of an event that has not occurred.
 NEVER = float("-inf")
 
 
@@ -24,38 +24,38 @@
 
     Attributes:
       upstream: Its configuration.
-      pulse: The newest answer of its agent.
-      heard_at: Monotonic seconds just before that answer was asked for, or
-        NEVER if its grant no longer counts.
+      pulse: The newest heartbeat reply of its agent.
+      granted_at: Monotonic seconds just before that heartbeat was sent, or
+        NEVER if its grant is void.
       local_in_flight: Requests of this entry in progress there.
-      local_reported: Those in progress when the pulse was asked for.
+      local_reported: Those in progress when that heartbeat was sent.
       breaker: Its circuit breaker.
-      used_at: Monotonic seconds at which a request last wanted it.
-      asked_at: Monotonic seconds of the last heartbeat sent.
-      beating: The heartbeat in progress, if any.
-      tie_breaker: Settles ties between upstreams, for this entry alone.
-      expert_load: Recent tokens of each expert, as last asked for.
+      used_at: Monotonic seconds at which a request last needed its target.
+      heartbeat_at: Monotonic seconds at which a heartbeat was last sent.
+      pending_heartbeat: The heartbeat in progress, if any.
+      tie_breaker: Breaks ties between upstreams, differently at each entry.
+      expert_load: Recent tokens of each expert, as last requested.
     """
 
     upstream: model.Upstream
     pulse: ttypes.Pulse | None = None
-    heard_at: float = NEVER
+    granted_at: float = NEVER
     local_in_flight: int = 0
     local_reported: int = 0
     breaker: circuit.Circuit = circuit.CLOSED
     used_at: float = NEVER
-    asked_at: float = NEVER
-    beating: defer.Deferred | None = None
+    heartbeat_at: float = NEVER
+    pending_heartbeat: defer.Deferred | None = None
     tie_breaker: int = 0
     expert_load: Sequence[int] = ()
 
     def due(self, now: float) -> bool:
-        """Tell whether it is time for a heartbeat."""
-        warm = self.local_in_flight > 0 or now - self.used_at < WARM_S
-        return warm or now - self.asked_at >= IDLE_EVERY_S
+        """Return whether a heartbeat is due."""
+        active = self.local_in_flight > 0 or now - self.used_at < ACTIVE_S
+        return active or now - self.heartbeat_at >= IDLE_INTERVAL_S
 
     def candidate(self, now: float) -> routing.Candidate:
-        """Return what routing looks at."""
+        """Return the upstream as a candidate for routing."""
         pulse = self.pulse
         name, hall = self.upstream.name, self.upstream.hall
         if pulse is None:
@@ -73,19 +73,19 @@
                 0.0,
                 False,
             )
-        lapse_s = pulse.grant.lapse_ms / 1000
+        expiry_s = pulse.grant.lapse_ms / 1000
         return routing.Candidate(
             name=name,
             hall=hall,
             slots=pulse.grant.slots,
-            until=self.heard_at + lapse_s,
+            until=self.granted_at + expiry_s,
             local_in_flight=self.local_in_flight,
             local_reported=self.local_reported,
             running=pulse.running,
             queued=pulse.queued,
             capacity=pulse.capacity,
             step_ms=pulse.step_ms,
-            reported_at=self.heard_at,
+            reported_at=self.granted_at,
             allowed=circuit.allows(self.breaker, now)
             and pulse.healthy
             and not pulse.leaving,
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/membership.py
@@ -1,7 +1,7 @@
-"""What an entry knows of upstreams and of other entries, by heartbeat.
+"""Tracks upstreams and other entries by heartbeat.
 
-An upstream may be sent new work only on a fresh grant of its agent, so a
-wrong or old view cannot send work to one that has left.
+New work is sent to an upstream only on an unexpired grant of its agent, so a
+stale view cannot send work to one that has departed.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -19,15 +19,15 @@
 from . import config, follower, granted_view
 
 LOG = logs.Logger("membership")
-# Other entries that an entry exchanges offsets with.
+# Number of other entries with which an entry exchanges offsets.
 PEER_ENTRIES = 8
-PEERS_EVERY_S = 5.0
-BOXES_EVERY_S = 2.0
+PEERS_INTERVAL_S = 5.0
+BOXES_INTERVAL_S = 2.0
 HEARTBEAT_TIMEOUT_S = 1.5
 
 
 class Membership:
-    """Keeps views of upstreams and offsets of other entries."""
+    """Maintains the views of upstreams and the offsets of other entries."""
 
     def __init__(
         self,
@@ -62,14 +62,14 @@
         self._leaving: set[str] = set()
         self._entries: dict[str, str] = {}
         self._timers: list[follower.Timer] = []
-        config.listen(lambda _state: self._choose())
+        config.listen(lambda _state: self._update_subset())
 
     def start(self) -> None:
-        """Begin to exchange heartbeats."""
+        """Start exchanging heartbeats."""
         for name, every_s, function in (
-            ("heartbeats", self._heartbeat_s, self._beat_all),
-            ("boxes", BOXES_EVERY_S, self._read_boxes),
-            ("entries", PEERS_EVERY_S, self._beat_entries),
+            ("heartbeats", self._heartbeat_s, self._send_due_heartbeats),
+            ("boxes", BOXES_INTERVAL_S, self._read_boxes),
+            ("entries", PEERS_INTERVAL_S, self._exchange_offsets),
         ):
             timer = follower.Timer(
                 reactor=self._reactor,
@@ -82,11 +82,11 @@
 
     @property
     def progress(self) -> list[follower.Progress]:
-        """Return how its loops get on."""
+        """Return the progress of its loops."""
         return [timer.progress for timer in self._timers]
 
     def stop(self) -> None:
-        """End the heartbeats; grants lapse at the agents."""
+        """Stop the heartbeats; grants expire at the agents."""
         for timer in self._timers:
             timer.stop()
 
@@ -103,101 +103,101 @@
         ]
 
     def reachable(self, target: str) -> bool:
-        """Tell whether any upstream of a target grants anything."""
+        """Return whether any upstream of a target has an unexpired grant."""
         now = self._clock.monotonic()
         return any(
-            now < item.until and item.slots > 0
-            for item in self.candidates(target)
+            now < candidate.until and candidate.slots > 0
+            for candidate in self.candidates(target)
         )
 
     def unavailable(self, name: str) -> bool:
-        """Tell whether an upstream is known to take nothing new now."""
+        """Return whether an upstream is known to accept no new requests."""
         view = self.views_by_name.get(name)
         if view is None or view.pulse is None:
             return False
-        lapse_s = view.pulse.grant.lapse_ms / 1000
-        lapsed = self._clock.monotonic() >= view.heard_at + lapse_s
-        return lapsed or view.pulse.leaving
+        expiry_s = view.pulse.grant.lapse_ms / 1000
+        expired = self._clock.monotonic() >= view.granted_at + expiry_s
+        return expired or view.pulse.leaving
 
     def record_leaving(self, name: str) -> None:
-        """Send an upstream nothing more: its agent refused as leaving."""
+        """Stop sending to an upstream whose agent refused as leaving."""
         view = self.views_by_name.get(name)
         if view is not None and view.pulse is not None:
             view.pulse.leaving = True
 
     def record_unreachable(self, name: str) -> None:
-        """Send an upstream nothing until it answers a heartbeat again.
+        """Stop sending to an upstream until it answers a heartbeat again.
 
-        Its grant has not lapsed yet, but no connection to its agent could
-        be opened, so what is sent on that grant would be lost at once.
+        Its grant has not expired, but no connection to its agent could be
+        opened.
         """
         view = self.views_by_name.get(name)
         if view is not None:
-            view.heard_at = granted_view.NEVER
+            view.granted_at = granted_view.NEVER
 
     def view(self, upstream: model.Upstream) -> granted_view.View:
-        """Return the view of an upstream, also outside the subset."""
-        found = self.views_by_name.get(upstream.name)
-        if found is None:
+        """Return the view of an upstream, even outside the subset."""
+        view = self.views_by_name.get(upstream.name)
+        if view is None:
             tie_breaker = rendezvous.score(self._name, upstream.name)
-            found = granted_view.View(
+            view = granted_view.View(
                 upstream=upstream, tie_breaker=tie_breaker
             )
-            self.views_by_name[upstream.name] = found
-        return found
+            self.views_by_name[upstream.name] = view
+        return view
 
-    def _choose(self) -> None:
-        """Follow the configuration: whom to keep in touch with."""
+    def _update_subset(self) -> None:
+        """Apply the configuration: select the upstreams to exchange with."""
         state = self._config.state
         names_by_target: dict[str, list[str]] = {}
         for upstream in state.upstreams_by_name.values():
             names_by_target.setdefault(upstream.target, []).append(
                 upstream.name
             )
-        wanted = set()
+        selected = set()
         for names in names_by_target.values():
-            wanted.update(
+            selected.update(
                 rendezvous.subset(self._name, names, size=self._subset)
             )
-        for name in set(self.views_by_name) - wanted:
+        for name in set(self.views_by_name) - selected:
             if not self.views_by_name[name].local_in_flight:
                 del self.views_by_name[name]
-        for name in wanted:
+        for name in selected:
             upstream = state.upstreams_by_name[name]
             view = self.view(upstream)
             if view.upstream.agent != upstream.agent:
                 view.pulse = None
             view.upstream = upstream
-        self._beat_all()
+        self._send_due_heartbeats()
 
     def group_of(self, name: str) -> str:
-        """Return "": a target is one group here."""
+        """Return "": with agents a target is a single group."""
         return ""
 
     def group_names(self, target: str) -> set[str]:
-        """Return the one name, for the same reason."""
+        """Return that one name; see group_of."""
         return {""}
 
     def dispatch_wait_s(self, target: str, *, ahead: int) -> float:
-        """Return 0: agents grant slots, and no upstream names a limit."""
+        """Return 0: agents grant slots, and upstreams state no rate limit."""
         return 0.0
 
     def limits_per_s(self, target: str) -> list[float]:
-        """Return none, for the same reason."""
+        """Return no limits; see dispatch_wait_s."""
         return []
 
     def record_sent(self, view: granted_view.View) -> None:
-        """Nothing to do, for the same reason."""
+        """Do nothing; see dispatch_wait_s."""
 
     async def refresh(
         self, target: str | None = None, *, request_expert_load: bool = False
     ) -> None:
-        """Ask the upstreams of a target, or all, for fresh grants.
+        """Request fresh grants of the upstreams of a target, or of all.
 
-        Returns when each has answered or failed to.
+        Returns once each has answered or failed.
 
         Args:
-          target: Whose upstreams; all if None.
+          target: The target; None for all upstreams.
           request_expert_load: Whether to request expert loads as well.
         """
         now = self._clock.monotonic()
@@ -209,73 +209,83 @@
         for view in views:
             if target is not None:
                 view.used_at = now
-            self._beat_once(view, request_expert_load=request_expert_load)
+            self._start_heartbeat(
+                view, request_expert_load=request_expert_load
+            )
         await defer.DeferredList(
-            [_fork(view.beating) for view in views if view.beating]
+            [
+                _fork(view.pending_heartbeat)
+                for view in views
+                if view.pending_heartbeat
+            ]
         )
 
     def record_demand(self, target: str) -> None:
-        """Note that a request wants a target, to keep its grants fresh."""
+        """Record a request for a target, which keeps its grants fresh."""
         now = self._clock.monotonic()
         for view in self.views_by_name.values():
             if view.upstream.target == target:
                 view.used_at = now
 
-    def _beat_all(self) -> None:
+    def _send_due_heartbeats(self) -> None:
         now = self._clock.monotonic()
         for view in list(self.views_by_name.values()):
             if view.due(now):
-                self._beat_once(view)
+                self._start_heartbeat(view)
 
-    def _beat_entries(self) -> None:
-        mine = rendezvous.subset(self._name, self._entries, size=PEER_ENTRIES)
-        for name in mine:
-            defer.ensureDeferred(self._beat_entry(self._entries[name]))
+    def _exchange_offsets(self) -> None:
+        selected = rendezvous.subset(
+            self._name, self._entries, size=PEER_ENTRIES
+        )
+        for name in selected:
+            defer.ensureDeferred(self._exchange_offset(self._entries[name]))
 
-    def _beat_once(
+    def _start_heartbeat(
         self, view: granted_view.View, *, request_expert_load: bool = False
     ) -> None:
-        if view.beating is None:
-            view.asked_at = self._clock.monotonic()
-            view.beating = defer.ensureDeferred(
-                self._beat(view, request_expert_load)
+        if view.pending_heartbeat is None:
+            view.heartbeat_at = self._clock.monotonic()
+            view.pending_heartbeat = defer.ensureDeferred(
+                self._exchange_heartbeat(view, request_expert_load)
             )
 
-    async def _beat(
+    async def _exchange_heartbeat(
         self, view: granted_view.View, request_expert_load: bool
     ) -> None:
         """Exchange a heartbeat with one agent."""
-        asked_at = self._clock.monotonic()
-        own = view.local_in_flight
+        sent_at = self._clock.monotonic()
+        local_in_flight = view.local_in_flight
         waiting = self.waiting_by_target.get(view.upstream.target, 0)
-        beat = self._message({view.upstream.name: own + waiting})
-        beat.want_heat = request_expert_load
+        heartbeat = self._message(
+            {view.upstream.name: local_in_flight + waiting}
+        )
+        heartbeat.want_heat = request_expert_load
         try:
-            # A turn of the loop, so that the caller has noted the attempt.
+            # Yields, so that the caller has recorded the attempt.
             await task.deferLater(self._reactor, 0)
             pulse = await self._links.to(view.upstream.agent).call(
-                "heartbeat", beat, timeout_s=HEARTBEAT_TIMEOUT_S
+                "heartbeat", heartbeat, timeout_s=HEARTBEAT_TIMEOUT_S
             )
         except link.LinkError:
             return
         finally:
-            view.beating = None
+            view.pending_heartbeat = None
         if pulse.name != view.upstream.name:
             LOG.error(
-                "An agent answers to another name than configured.",
+                "An agent reported a name other than configured.",
                 expected=view.upstream.name,
                 got=pulse.name,
             )
             return
         view.pulse = pulse
         view.expert_load = pulse.heat or view.expert_load
-        view.heard_at = asked_at
-        view.local_reported = own
+        view.granted_at = sent_at
+        view.local_reported = local_in_flight
         self._config.record_peer_offset(pulse.peer, pulse.offset)
         for listener in self.on_change:
             listener()
 
-    async def _beat_entry(self, address: str) -> None:
+    async def _exchange_offset(self, address: str) -> None:
         """Exchange offsets with another entry."""
         try:
             pulse = await self._links.to(address).call(
@@ -286,19 +296,19 @@
         self.peer_offsets_by_name[pulse.name] = pulse.offset
         self._config.record_peer_offset(address, pulse.offset)
 
-    def _message(self, wanted: dict[str, int]) -> ttypes.Heartbeat:
+    def _message(self, requested: dict[str, int]) -> ttypes.Heartbeat:
         return ttypes.Heartbeat(
             name=self._name,
             incarnation=self._incarnation,
             hall=self._hall,
             offset=self._config.state.offset,
-            wanted=wanted,
+            wanted=requested,
             log_age_ms=self._config.log_age_ms(),
             peer=self._peer,
         )
 
     async def _read_boxes(self) -> None:
-        """Read the platform's list; it only ever takes upstreams away."""
+        """Read the platform's list, which can only remove upstreams."""
         try:
             boxes = await self._platform.boxes()
         except error.CodedError:
@@ -315,12 +325,12 @@
 
 
 def _fork(source: defer.Deferred) -> defer.Deferred:
-    """Return a Deferred that fires when another does, which goes on."""
+    """Return a Deferred that fires with another, passing on its result."""
     fork: defer.Deferred = defer.Deferred()
 
-    def passed(value: Any) -> Any:
+    def fire(value: Any) -> Any:
         fork.callback(None)
         return value
 
-    source.addBoth(passed)
+    source.addBoth(fire)
     return fork
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/outages.py
@@ -1,4 +1,4 @@
-"""Which groups refuse work as a whole, as this entry has found out."""
+"""Tracks which groups refuse all work, as observed by this entry."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -14,10 +14,10 @@
 
 
 class Outages:
-    """Keeps the outage of each group.
+    """The outage of each group.
 
-    Only groups of ranks go out as a whole; a service's upstreams refuse each
-    for itself.
+    Only groups of ranks have outages; upstreams of a service refuse
+    independently of each other.
     """
 
     def __init__(
@@ -27,84 +27,90 @@
         group_of: Callable[[str], str],
         groups: Callable[[str], set[str]],
     ) -> None:
-        """Make it.
+        """Initialize without outages.
 
         Args:
-          clock: The time.
-          group_of: Gives the group of an upstream, "" while not known.
-          groups: Gives the groups that serve a target.
+          clock: The clock.
+          group_of: Returns the group of an upstream, "" while unknown.
+          groups: Returns the groups that serve a target.
         """
         self._clock = clock
         self._group_of = group_of
         self._groups = groups
         self._outage_by_group: dict[tuple[str, str], outage.Outage] = {}
 
-    def lets_through(self, asked: call.Call) -> bool:
-        """Tell whether a request may go to a group, or all are out.
+    def allows(self, request: call.Call) -> bool:
+        """Return whether a request may be sent to any group of its target.
 
-        Who is let through to see whether a group is back is noted once it
-        has been chosen for one.
+        A request that probes a group in outage is recorded as its probe once
+        an upstream is chosen; see record_chosen.
         """
-        if not asked.is_model or not self._outage_by_group:
+        if not request.is_model or not self._outage_by_group:
             return True
         now = self._clock.monotonic()
         return any(
-            outage.allows(self._outage(asked.target, group), now)
-            for group in self._groups(asked.target) or {""}
+            outage.allows(self._outage(request.target, group), now)
+            for group in self._groups(request.target) or {""}
         )
 
     def filter_open(
-        self, asked: call.Call, candidates: list[routing.Candidate]
+        self, request: call.Call, candidates: list[routing.Candidate]
     ) -> list[routing.Candidate]:
-        """Leave out the upstreams whose group takes no work now."""
-        if not asked.is_model or not self._outage_by_group:
+        """Remove the candidates whose group accepts no work now."""
+        if not request.is_model or not self._outage_by_group:
             return candidates
         now = self._clock.monotonic()
         return [
-            item
-            for item in candidates
-            if outage.allows(self._outage(asked.target, item.group), now)
+            candidate
+            for candidate in candidates
+            if outage.allows(
+                self._outage(request.target, candidate.group), now
+            )
         ]
 
-    def record_chosen(self, asked: call.Call, upstream: str) -> None:
-        """Note that a request goes to an upstream, maybe to try its group."""
-        if not self._outage_by_group or not asked.is_model:
+    def record_chosen(self, request: call.Call, upstream: str) -> None:
+        """Record a request to an upstream, possibly a probe of its group."""
+        if not self._outage_by_group or not request.is_model:
             return
         group = self._group_of(upstream)
-        found = self._outage(asked.target, group)
-        if found.out:
-            tried = found._replace(probed_at=self._clock.monotonic())
-            self._outage_by_group[asked.target, group] = tried
-
-    def out(self, asked: call.Call) -> bool:
-        """Tell whether all groups of a request refuse work as a whole."""
-        if not asked.is_model or not self._outage_by_group:
+        current = self._outage(request.target, group)
+        if current.out:
+            probed = current._replace(probed_at=self._clock.monotonic())
+            self._outage_by_group[request.target, group] = probed
+
+    def out(self, request: call.Call) -> bool:
+        """Return whether all groups of a request are in outage."""
+        if not request.is_model or not self._outage_by_group:
             return False
-        groups = self._groups(asked.target) or {""}
-        return all(self._outage(asked.target, group).out for group in groups)
+        groups = self._groups(request.target) or {""}
+        return all(self._outage(request.target, group).out for group in groups)
 
-    def record_refused(self, asked: call.Call, upstream: str) -> None:
-        """Note that an upstream refused a request without running it."""
+    def record_refused(self, request: call.Call, upstream: str) -> None:
+        """Record that an upstream refused a request without running it."""
         group = self._group_of(upstream)
-        old = self._outage(asked.target, group)
+        old = self._outage(request.target, group)
         new = outage.record_refusal(old, upstream, self._clock.monotonic())
-        self._outage_by_group[asked.target, group] = new
-        if asked.is_model and new.out and not old.out:
+        self._outage_by_group[request.target, group] = new
+        if request.is_model and new.out and not old.out:
             LOG.warning(
-                "A group refuses work.", target=asked.target, group=group
+                "A group started to refuse work.",
+                target=request.target,
+                group=group,
             )
 
-    def record_progress(self, asked: call.Call, upstream: str) -> None:
-        """Note that an upstream took a request, or goes on with one.
+    def record_progress(self, request: call.Call, upstream: str) -> None:
+        """Record that an upstream accepted or continued a request.
 
-        All ranks of a group step together, so events of any stream show that
-        the group works: ranks that refuse then do so for themselves.
+        All ranks of a group run in lockstep, so progress of any stream shows
+        that the group works; ranks that still refuse do so individually.
         """
         group = self._group_of(upstream)
-        old = self._outage_by_group.pop((asked.target, group), None)
-        if asked.is_model and old is not None and old.out:
+        old = self._outage_by_group.pop((request.target, group), None)
+        if request.is_model and old is not None and old.out:
             LOG.info(
-                "A group takes work again.", target=asked.target, group=group
+                "A group accepts work again.",
+                target=request.target,
+                group=group,
             )
 
     def _outage(self, target: str, group: str) -> outage.Outage:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/upstreams.py
@@ -1,7 +1,6 @@
-"""What an entry knows of the upstreams, and may send to them.
+"""Tracks the state of upstreams and lists candidates for routing.
 
-It answers what routing asks, and takes what answers tell; who lists the
-upstreams is left to directory.py.
+The list of upstreams itself is maintained by directory.py.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -22,16 +21,16 @@
 
 
 class Upstreams:
-    """The views of all upstreams, and what limits the work for each.
+    """The views of all upstreams and the limits on work for each.
 
     Attributes:
       views_by_name: The views.
-      waiting_by_target: Requests that wait here, by target.
+      waiting_by_target: Requests queued at this entry, by target.
       on_change: Called after a change of the views.
-      rate_limits: The limits that upstreams name themselves.
-      backoffs: Which upstreams want no requests for a while.
-      departures: Which upstreams have said in answers that they leave.
-      groups: Which group of ranks each one is in.
+      rate_limits: Rate limits stated by upstreams.
+      backoffs: Backoffs requested by upstreams.
+      departures: Upstreams that announced in an answer that they leave.
+      groups: The group of ranks of each upstream.
     """
 
     def __init__(
@@ -45,16 +44,16 @@
         peers: Callable[[], Iterable[str]],
         metrics: metrics.Metrics,
     ) -> None:
-        """Make it; no upstream is known yet.
+        """Initialize without known upstreams.
 
         Args:
-          reactor: The loop.
-          clock: The time.
-          usage: The requests of other entries.
+          reactor: The reactor.
+          clock: The clock.
+          usage: The requests in progress at other entries.
           links: Connections to agents and other entries.
-          agent_port: Port of the agents beside ranks, 0 if there are none.
-          peers: Gives addresses of other entries.
-          metrics: Counts what upstreams ask.
+          agent_port: Port of the agents of ranks, 0 if there are none.
+          peers: Returns addresses of other entries.
+          metrics: Counts the backoffs that upstreams request.
         """
         self.views_by_name: dict[str, views.View] = {}
         self.waiting_by_target: dict[str, int] = {}
@@ -73,7 +72,7 @@
             reactor=reactor,
             clock=clock,
             metrics=metrics,
-            on_over=self.notify_change,
+            on_expired=self.notify_change,
         )
         self.departures = departures.Departures(
             clock=clock, on_change=self.notify_change
@@ -89,26 +88,27 @@
         )
 
     def notify_change(self) -> None:
-        """Let requests that wait look again for an upstream."""
+        """Notify listeners, so that queued requests are retried."""
         for listener in self.on_change:
             listener()
 
     def candidates(self, target: str) -> list[routing.Candidate]:
-        """Return the upstreams that may get new work of a target."""
+        """Return the upstreams that accept new requests for a target."""
         now = self._clock.monotonic()
         by_group: dict[str, list[routing.Candidate]] = {}
         for view in self._serving(target):
-            found = self._candidate(view, now)
-            by_group.setdefault(found.group, []).append(found)
-        rows = []
-        for group, found in by_group.items():
-            if routing.used(found) >= self._targets.limit(target, group):
-                # Streams must keep their pace: each has what it uses now.
-                found = [
-                    item._replace(slots=item.local_in_flight) for item in found
+            candidate = self._candidate(view, now)
+            by_group.setdefault(candidate.group, []).append(candidate)
+        candidates = []
+        for group, members in by_group.items():
+            if routing.used(members) >= self._targets.limit(target, group):
+                # At the pace limit: cap each upstream at its current use.
+                members = [
+                    item._replace(slots=item.local_in_flight)
+                    for item in members
                 ]
-            rows += found
-        return rows
+            candidates += members
+        return candidates
 
     def group_of(self, name: str) -> str:
         """Return the group of an upstream, "" while it is not known."""
@@ -117,8 +117,8 @@
 
     def group_names(self, target: str) -> set[str]:
         """Return the groups that serve a target."""
-        found = self._serving(target)
-        return {self.groups.of(view.upstream.start.key) for view in found}
+        serving = self._serving(target)
+        return {self.groups.of(view.upstream.start.key) for view in serving}
 
     def ranks(self) -> list[announcement.Announcement]:
         """Return the upstreams that are ranks of groups."""
@@ -129,7 +129,7 @@
         ]
 
     def _candidate(self, view: views.View, now: float) -> routing.Candidate:
-        """Return how routing is to look at an upstream."""
+        """Return an upstream as a candidate for routing."""
         upstream = view.upstream
         start = upstream.start
         limited = self.rate_limits.blocks(start.key)
@@ -144,21 +144,21 @@
         )
 
     def dispatch_wait_s(self, target: str, *, ahead: int) -> float:
-        """Return when upstreams themselves let the next request go.
+        """Return how long upstreams hold back the next request.
 
         Args:
-          target: Where it goes.
-          ahead: Requests that wait before it.
+          target: Target of the request.
+          ahead: Requests queued before it.
 
         Returns:
-          Seconds; 0 if any upstream of the target takes what comes, inf if
-          no request of this entry may go to any.
+          Seconds; 0 if any upstream of the target accepts requests now, inf if
+          this entry may send to none of them.
         """
         starts = [view.upstream.start for view in self._serving(target)]
         waits = [self._dispatch_wait_s(start, ahead=0) for start in starts]
         if not waits or min(waits) == 0:
             return 0.0
-        # What waits before it goes by turns to all of them.
+        # Requests ahead are spread evenly over the upstreams.
         each = ahead // len(starts)
         return min(
             self._dispatch_wait_s(start, ahead=each) for start in starts
@@ -167,17 +167,17 @@
     def _dispatch_wait_s(
         self, start: announcement.Start, *, ahead: int
     ) -> float:
-        """Return when a start itself lets a request go, in seconds."""
+        """Return how long a start holds back a request, in seconds."""
         limit_s = self.rate_limits.wait_s(start.key, ahead=ahead)
-        return max(limit_s, self.backoffs.left_s(start))
+        return max(limit_s, self.backoffs.remaining_s(start))
 
     def limits_per_s(self, target: str) -> list[float]:
-        """Return the limits that upstreams of a target have named."""
-        found = (
+        """Return the rate limits stated by upstreams of a target."""
+        limits = (
             self.rate_limits.limit_per_s(view.upstream.start.key)
             for view in self._serving(target)
         )
-        return [per_s for per_s in found if per_s is not None]
+        return [per_s for per_s in limits if per_s is not None]
 
     def _serving(self, target: str) -> list[views.View]:
         return [
@@ -188,82 +188,82 @@
         ]
 
     def listed(self, start: announcement.Start) -> bool:
-        """Tell whether a start is listed and not leaving."""
+        """Return whether a start is listed and not leaving."""
         view = self.view_of(start)
         if view is None or view.gone or self.departures.leaving(start):
             return False
         return not view.upstream.leaving
 
     def restarted(self, start: announcement.Start) -> bool:
-        """Tell whether another start has taken the place of one."""
+        """Return whether a later start has replaced a start."""
         view = self.views_by_name.get(start.name)
         return view is not None and starts.are_distinct(
             view.upstream.born_ms, start.born_ms
         )
 
     def record_sent(self, view: views.View) -> None:
-        """Note that a request goes to an upstream."""
-        self.rate_limits.sent(view.upstream.start.key)
+        """Record that a request is sent to an upstream."""
+        self.rate_limits.record_sent(view.upstream.start.key)
 
     def record_rate_limit(
         self, start: announcement.Start, stated: base.RateLimit
     ) -> None:
-        """Take what an answer says of the limit of its upstream."""
+        """Record the rate limit stated in an answer."""
         if self.view_of(start) is not None:
             self.rate_limits.record_limit(start.key, stated)
 
     def record_backoff(
         self, start: announcement.Start, seconds: float
     ) -> None:
-        """Take for how long a refusal asks to be left alone."""
+        """Record the backoff requested by a refusal."""
         self.backoffs.record_backoff(self._known_start(start), seconds)
 
     def record_leaving(self, start: announcement.Start) -> None:
-        """Take that an answer says that its upstream leaves."""
+        """Record that an answer announced that its upstream leaves."""
         self.departures.record_leaving(self._known_start(start))
 
     def refusal_reason(self, start: announcement.Start) -> str:
-        """Return why a start wants no request now; "" if it may get one."""
+        """Return why a start accepts no request now, "" if it does."""
         if self.departures.leaving(start):
             return "leaving"
-        return "backoff" if self.backoffs.left_s(start) else ""
+        return "backoff" if self.backoffs.remaining_s(start) else ""
 
     def _known_start(self, start: announcement.Start) -> announcement.Start:
-        """Return the start that an answer is of.
+        """Return the start to which an answer is attributed.
 
-        One that was on its way as another start was heard of may be that
-        one's, which serves at the same address.
+        An answer in flight during a restart may come from the new start,
+        which serves at the same address.
         """
         view = self.views_by_name.get(start.name)
         return start if view is None else view.upstream.start
 
-    def record_pause(self, asked: call.Call, pause_s: float) -> None:
-        """Take the pause between two events of a stream."""
-        longest_s = asked.route.pause_s
-        if not longest_s or asked.choice is None:
+    def record_pause(self, request: call.Call, pause_s: float) -> None:
+        """Record the pause between two events of a stream."""
+        max_pause_s = request.route.pause_s
+        if not max_pause_s or request.choice is None:
             return
-        group = self.group_of(asked.choice.name)
-        rows = self.candidates(asked.target)
+        group = self.group_of(request.choice.name)
+        rows = self.candidates(request.target)
         self._targets.record_pause(
-            asked.target,
+            request.target,
             group,
             pause_s,
-            longest_s=longest_s,
+            longest_s=max_pause_s,
             used=routing.used([row for row in rows if row.group == group]),
         )
 
     def reachable(self, target: str) -> bool:
-        """Tell whether any upstream of a target is listed."""
+        """Return whether any upstream of a target is listed."""
         return bool(self.candidates(target))
 
     def record_demand(self, target: str) -> None:
-        """Nothing to do: views need no request to stay fresh."""
+        """Do nothing: views do not depend on demand."""
 
     async def refresh(self, target: str | None = None) -> None:
-        """Nothing to do: the list is followed all the time."""
+        """Do nothing: the list is followed continuously."""
 
     def view_of(self, start: announcement.Start) -> views.View | None:
-        """Return how a start of an upstream is seen; None once it is over."""
+        """Return the view of a start, None once it is replaced."""
         view = self.views_by_name.get(start.name)
         same = view is not None and view.upstream.start == start
         return view if same else None
@@ -271,7 +271,7 @@
     def record_load(
         self, start: announcement.Start, load: announcement.Load
     ) -> None:
-        """Take what an upstream's answer told of its load."""
+        """Record the load that an upstream reported in an answer."""
         view = self.view_of(start)
         if view is None:
             return
@@ -281,17 +281,17 @@
         )
 
     def record_refused(self, start: announcement.Start) -> None:
-        """Note that an upstream refused a request without running it."""
+        """Record that an upstream refused a request without running it."""
         view = self.view_of(start)
         if view is not None:
             view.refused_at = self._clock.monotonic()
 
     def record_answer_time(self, target: str, seconds: float) -> None:
-        """Take how long an upstream took for a whole answer."""
+        """Record how long an upstream took for a complete answer."""
         self._targets.record_duration(target, seconds)
 
     def apply_config(self, state: states.State) -> None:
-        """Take from the configuration how soon answers are wanted."""
+        """Apply the latency goals of the configuration."""
         self._targets.apply_config(state)
 
     def counts(self) -> dict[str, int]:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/view.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/view.py
@@ -1,7 +1,7 @@
-"""What an entry knows of one upstream that announces itself.
+"""The view that an entry has of one upstream that announces itself.
 
-How busy it is follows from three sources: what this entry has sent there,
-what other entries tell that they have sent, and what it says in its answers.
+Its load is estimated from three sources: the requests of this entry, those
+reported by other entries, and the load reported in its answers.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -11,14 +11,12 @@
 
 from reelscale_core import announcement, circuit, routing
 
-# What an upstream told of its load counts for this long, in seconds; a
-# request of a stream takes about that.
-LOAD_FRESH_S = 1.0
-# An upstream that refused a request is asked after others for this long, in
-# seconds; a slot of a busy group is free again within about that.
-REFUSED_S = 0.5
-# What a whole slot's load more weighs, in milliseconds, beside distance.
-SLOT_MS = 40.0
+# Seconds after which a reported load is ignored.
+LOAD_EXPIRY_S = 1.0
+# Seconds for which an upstream ranks behind others after it refused a request.
+REFUSAL_PENALTY_S = 0.5
+# Cost of one more request in progress, in milliseconds of network distance.
+SLOT_COST_MS = 40.0
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -26,16 +24,16 @@
     """An upstream as this entry sees it.
 
     Attributes:
-      upstream: What it announced.
+      upstream: Its announcement.
       local_in_flight: Requests of this entry in progress there.
       breaker: Its circuit breaker.
-      load: What its newest answer told of its load.
-      load_at: Monotonic seconds at which that came.
+      load: Load reported in its newest answer.
+      load_at: Monotonic seconds at which that was received.
       local_at_report: Requests of this entry in progress there at that time.
       remote_at_report: Those of other entries at that time.
       refused_at: Monotonic seconds at which it last refused a request.
       gone: Whether it is no longer listed.
-      tie_breaker: Settles ties between upstreams, for this entry alone.
+      tie_breaker: Breaks ties between upstreams, differently at each entry.
     """
 
     upstream: announcement.Announcement
@@ -50,9 +48,9 @@
     tie_breaker: int = 0
 
     def serves(self, target: str) -> bool:
-        """Tell whether it may get new work of a target."""
-        own = self.upstream
-        return own.target == target and not own.leaving and not self.gone
+        """Return whether it accepts new requests for a target."""
+        up = self.upstream
+        return up.target == target and not up.leaving and not self.gone
 
     def candidate(
         self,
@@ -63,35 +61,35 @@
         avoided: bool = False,
         group: str = "",
     ) -> routing.Candidate:
-        """Return what routing looks at.
+        """Return the upstream as a candidate for routing.
 
         Args:
           now: Monotonic seconds.
-          remote_in_flight: Requests that other entries have there.
-          waiting: Requests that may wait there.
-          avoided: Whether it wants no request now, as it said itself.
-          group: The group of ranks that it is in, "" while not known.
+          remote_in_flight: Requests of other entries in progress there.
+          waiting: Requests that may queue there.
+          avoided: Whether it requested a backoff or is at its rate limit.
+          group: Its group of ranks, "" while unknown.
         """
         up = self.upstream
         expected = max(
             self.local_in_flight + remote_in_flight,
             self._reported(now, remote_in_flight),
         )
-        room = up.slots + waiting - expected
+        free = up.slots + waiting - expected
         return routing.Candidate(
             name=up.name,
             hall=up.hall,
-            slots=self.local_in_flight + max(0, room),
+            slots=self.local_in_flight + max(0, free),
             until=float("inf"),
             local_in_flight=self.local_in_flight,
             local_reported=self.local_in_flight,
             running=min(expected, up.slots),
             queued=max(0, expected - up.slots),
             capacity=up.slots,
-            step_ms=SLOT_MS,
+            step_ms=SLOT_COST_MS,
             reported_at=now,
             allowed=not avoided and circuit.allows(self.breaker, now),
-            refused=now - self.refused_at < REFUSED_S,
+            refused=now - self.refused_at < REFUSAL_PENALTY_S,
             tie_breaker=self.tie_breaker,
             start=up.start.key,
             group=group,
@@ -100,12 +98,12 @@
     def record_load(
         self, load: announcement.Load, now: float, *, remote_in_flight: int
     ) -> None:
-        """Take what an answer told of its load.
+        """Record the load reported in an answer.
 
         Args:
-          load: What it told.
+          load: The reported load.
           now: Monotonic seconds.
-          remote_in_flight: Requests that other entries have there.
+          remote_in_flight: Requests of other entries in progress there.
         """
         self.load = load
         self.load_at = now
@@ -113,12 +111,12 @@
         self.remote_at_report = remote_in_flight
 
     def _reported(self, now: float, remote_in_flight: int) -> int:
-        """Return what its newest answer says it has, and what came since.
+        """Return the load of its newest answer plus requests sent since.
 
-        It may have more than the entries know of: requests of one that has
-        just died, or that a caller has left.
+        It may exceed the counts of all entries: an entry may have just died,
+        or a caller disconnected.
         """
-        if self.load is None or now - self.load_at > LOAD_FRESH_S:
+        if self.load is None or now - self.load_at > LOAD_EXPIRY_S:
             return 0
         then = self.local_at_report + self.remote_at_report
         since = self.local_in_flight + remote_in_flight - then
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/outage.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/outage.py
@@ -15,7 +15,7 @@
     Raises:
       CodedError: "group-out", 503, with Retry-After.
     """
-    if context.outages.lets_through(request):
+    if context.outages.allows(request):
         return
     raise error.CodedError(
         "group-out",
