--- a/features/log_lines.py
+++ b/features/log_lines.py
@@ -1,4 +1,4 @@
-"""The lines that parts in this process log, kept for a scenario."""
+"""Captures the log lines of this process for a scenario."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -7,7 +7,7 @@
 
 
 class Lines(logging.Handler):
-    """Keeps the lines that are logged."""
+    """A log handler that keeps all lines."""
 
     def __init__(self):
         super().__init__()
@@ -20,7 +20,7 @@
 
 
 def keep(context):
-    """Keep the lines that are logged until the scenario ends."""
+    """Capture log lines in context.lines until the scenario ends."""
     lines = Lines()
     logger = logging.getLogger("absl")
     logger.addHandler(lines)
--- a/features/loops.feature
+++ b/features/loops.feature
@@ -1,13 +1,11 @@
-Feature: No loop ends on an error that nobody foresaw
+Feature: Loops continue after unexpected errors
 
-  A loop that ends serves on what it knew last for ever, and nothing tells.
-  The loop that follows the list of upstreams ended so on one unreadable
-  record, without a line, while its entry stayed ready.
+  If a loop ended, its process would serve stale data and still be ready.
 
-  Scenario Outline: <loop> goes on
+  Scenario Outline: The loop "<loop>" continues
     Given the loop "<loop>"
-    When its work fails 5 times with an error that nobody foresaw
-    Then it still does its work, and has told the error within 4 lines
+    When its work fails 5 times with an unexpected error
+    Then it still does its work, and has logged the error within 4 lines
     And the metrics count 5 faults of it
 
     Examples:
@@ -23,8 +21,8 @@
 
   Scenario Outline: A process whose loop "<loop>" only fails is not ready
     Given the loop "<loop>"
-    When its work fails for 30 s with an error that nobody foresaw
-    Then it counts as stuck, and no more once its work succeeds
+    When its work fails for 30 s with an unexpected error
+    Then it counts as stuck until its work succeeds
 
     Examples:
       | loop          |
@@ -37,12 +35,12 @@
       | usage         |
       | timer         |
 
-  Scenario: A store that is down is no fault of the loop
+  Scenario: An unavailable store does not count as a fault of the loop
     Given the loop "list"
-    When its work fails for 30 s as the store is down
+    When its work fails for 30 s because the store is down
     Then it does not count as stuck
 
-  Scenario: One part that does not take a configuration costs the others none
-    Given a configuration with a part that fails and one that listens
+  Scenario: A listener that fails on a configuration does not affect the others
+    Given a configuration with a listener that fails and one that works
     When a new version is read
-    Then the one that listens has it
+    Then the working listener has received it
--- a/features/platform_directory.py
+++ b/features/platform_directory.py
@@ -1,4 +1,4 @@
-"""The list of upstreams in this process, over a store that a test writes."""
+"""An entry's directory over a fake store, in this process."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -28,10 +28,10 @@
 
 
 def entry(**fields):
-    """Return a sound entry as bytes, with some fields set; None drops one."""
+    """Return a valid entry as bytes, with fields replaced; None omits one."""
     data = {**ENTRY, **fields}
-    whole = {name: value for name, value in data.items() if value is not None}
-    return json.dumps(whole).encode()
+    given = {name: value for name, value in data.items() if value is not None}
+    return json.dumps(given).encode()
 
 
 def record(name, value):
@@ -40,19 +40,19 @@
 
 
 class Store:
-    """A store that gives what a test has written since the last read."""
+    """A store that returns the records that a test has written."""
 
     def __init__(self):
         self.records = []
         self.failing = []
 
     async def newest(self, topic, part=0):
-        """Return all records so far, as if each had its own key."""
+        """Return all records so far, without compaction by key."""
         rows = [(n, stores.parse_keyed(r)) for n, r in enumerate(self.records)]
         return stores.Newest(rows, len(self.records))
 
     async def read(self, topic, part, from_offset, *, wait_s):
-        """Return the records from an offset on, or fail as was asked."""
+        """Return the records from an offset on, or raise a planned error."""
         if self.failing:
             raise self.failing.pop(0)
         rows = self.records[from_offset:]
@@ -60,18 +60,18 @@
 
 
 class Connections:
-    """Kept connections; notes whose were closed."""
+    """A connection pool that records closed addresses."""
 
     def __init__(self):
         self.closed = []
 
     def close_idle(self, address):
-        """Note an address."""
+        """Record an address."""
         self.closed.append(address)
 
 
 class Listing:
-    """An entry's directory and what it stands on."""
+    """An entry's directory and its dependencies."""
 
     def __init__(self):
         self.reactor, self.clock = task.Clock(), clock.FakeClock()
@@ -104,7 +104,7 @@
             name="f1",
             metrics=self.metrics,
         )
-        # A first record of another, since offset 0 asks for the whole list.
+        # A first record, since a read from offset 0 is of the complete list.
         self.write("other", entry(addr="10.0.0.9:80"))
         self.running = defer.ensureDeferred(self.directory.run())
         self.pass_time(1.0)
@@ -114,17 +114,17 @@
         self.store.records.append(record(name, value))
 
     def pass_time(self, seconds):
-        """Let time pass in small steps."""
+        """Advance the clocks in small steps."""
         for _ in range(round(seconds / 0.1)):
             self.clock.advance(0.1)
             self.reactor.advance(0.1)
 
     def listed(self):
-        """Return the names of the upstreams that may get work."""
+        """Return the names of the upstreams that may get requests."""
         views = self.directory.views_by_name.values()
         return {v.upstream.name for v in views if v.serves("push")}
 
 
 async def _nothing():
-    """Know no list."""
+    """Return None: the peer has no list."""
     return None
--- a/features/rank_starts.feature
+++ b/features/rank_starts.feature
@@ -1,14 +1,14 @@
-Feature: A holder relies on nothing that an earlier start of a rank held
+Feature: A holder discards the state of a restarted rank
 
-  A rank that starts again under its id has forgotten fences, what it had
-  prepared and what it was armed for.  It may be back within one look, in the
-  same epoch and at the same step, so only its time of birth tells.
+  A rank that restarts under its id loses its fence and prepared layouts.  It
+  may return within one check, in the same epoch and at the same step, so only
+  its start time shows the restart.
 
-  Scenario Outline: A rank starts again after <count> orders
-    Given a holder whose rank "<rank>" starts again after <count> orders
+  Scenario Outline: A rank restarts after <count> orders
+    Given a holder whose rank "<rank>" restarts after <count> orders
     When it changes the layout
     Then each order went to a start that refuses earlier holders
-    And no rank was armed for what it had not prepared
+    And no rank was armed for a layout that it had not prepared
     And the layout is in use at all ranks
 
     Examples:
@@ -24,15 +24,15 @@
       | r1   | 4     |
       | r1   | 5     |
 
-  Scenario: Without its time of birth the fault is there
-    Given a holder whose rank "r1" starts again untold after 4 orders
+  Scenario: Without a start time the fault occurs
+    Given a holder whose rank "r1" restarts without a start time after 4 orders
     When it changes the layout
     Then an order went to a start that does not refuse earlier holders
 
   Scenario: Counters of two starts are not subtracted
-    When a rank counts 100, starts again in its epoch and counts 130
-    Then nothing of that is taken for demand
+    When a rank counts 100, restarts in its epoch and counts 130
+    Then none of that counts as demand
 
-  Scenario: What an earlier start held is asked for anew
-    When a rank that told what it holds starts again in its epoch
-    Then what it holds is asked for in the next look
+  Scenario: The experts of a restarted rank are requested again
+    When a rank whose experts are known restarts in its epoch
+    Then its experts are requested in the next check
--- a/features/steps/agent_lease_steps.py
+++ b/features/steps/agent_lease_steps.py
@@ -1,4 +1,4 @@
-"""Steps on an agent that loses its lease in the middle of a look."""
+"""Steps on an agent that loses its lease during a check."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -18,61 +18,61 @@
 
 
 class _Ranks(holder_fakes.Ranks):
-    """Ranks whose answer to one call is given when a test says so."""
+    """Ranks that delay the answer to one call until answer() is called."""
 
-    def __init__(self, *, order="", ask=0):
+    def __init__(self, *, order="", query=0):
         super().__init__()
-        self.silent_looks = 0
+        self.unresponsive_queries = 0
         self.sent = []
-        self.asked = 0
-        self._order, self._ask = order, ask
+        self.queries = 0
+        self._order, self._query = order, query
         self.answers = []
         self.outcome = rank.Outcome.TAKEN
 
     async def query_all(self):
-        self.asked += 1
-        if self.asked == self._ask:
+        self.queries += 1
+        if self.queries == self._query:
             await self._wait()
         return await super().query_all()
 
     async def order(self, member, order, *, fence, epoch):
         kind = type(order).__name__.lower()
         self.sent.append((kind, member, fence))
-        told = await super().order(member, order, fence=fence, epoch=epoch)
+        answer = await super().order(member, order, fence=fence, epoch=epoch)
         if kind != self._order or fence != 1:
-            return told
+            return answer
         await self._wait()
         taken = self.outcome == rank.Outcome.TAKEN
-        return self.outcome, told[1] if taken else None
+        return self.outcome, answer[1] if taken else None
 
     async def _wait(self):
         self.answers.append(defer.Deferred())
         await self.answers[-1]
 
     def answer(self):
-        for waiting in self.answers:
-            waiting.callback(None)
+        for pending in self.answers:
+            pending.callback(None)
 
 
 class _Engines:
-    """Engines whose limits are awaited."""
+    """Engines that delay the answer for their limits."""
 
     def __init__(self):
-        self.asked = []
+        self.requests = []
 
     async def limits(self, target):
-        self.asked.append(defer.Deferred())
-        await self.asked[-1]
+        self.requests.append(defer.Deferred())
+        await self.requests[-1]
         return base.EngineLimits(experts=2, places=2, spare=1)
 
 
 def _run(context, ranks, engines=None, *, finish_only=False):
-    """Let a holder work until a call of its own is awaited."""
+    """Run a holder until one of its calls is pending."""
     holder_fakes.make_holder(context, ranks, engines)
     watch = mock.patch.object(group.LOG, "warning")
     context.warned = watch.start()
     context.add_cleanup(watch.stop)
-    context.ended, context.retaken = [], False
+    context.ended, context.reacquired = [], False
     context.group.acquire(1, finish_only=finish_only)
     done = defer.ensureDeferred(context.group.run())
     done.addBoth(context.ended.append)
@@ -87,9 +87,9 @@
     assert context.ranks.answers, context.ranks.sent
 
 
-@given("a holder that waits for its ranks, asked for the {nth:d}th time")
+@given("a holder whose query {nth:d} of its ranks is pending")
 def _(context, nth):
-    _run(context, _Ranks(ask=nth))
+    _run(context, _Ranks(query=nth))
     assert context.ranks.answers, context.ranks.sent
 
 
@@ -97,10 +97,10 @@
 def _(context):
     context.engines = _Engines()
     _run(context, _Ranks(), context.engines)
-    assert context.engines.asked, context.ranks.sent
+    assert context.engines.requests, context.ranks.sent
 
 
-@given("an agent that finishes a change and waits for an answer")
+@given("an agent that completes a change and waits for an answer")
 def _(context):
     ranks = _Ranks(order="fence")
     for name, item in ranks.by_name.items():
@@ -123,12 +123,12 @@
     context.clock.pump([0.1] * 20)
 
 
-@when("its lease is lost and taken again, and the order was {outcome}")
+@when("its lease is lost and regained, and the order was {outcome}")
 def _(context, outcome):
     context.ranks.outcome = OUTCOMES[outcome]
     context.group.release()
     context.group.acquire(2)
-    context.retaken = True
+    context.reacquired = True
     context.ranks.answer()
     context.clock.pump([0.1] * 20)
 
@@ -143,8 +143,8 @@
 @when("its lease is lost and the limits are answered")
 def _(context):
     context.group.release()
-    for waiting in context.engines.asked:
-        waiting.callback(None)
+    for pending in context.engines.requests:
+        pending.callback(None)
     context.clock.pump([0.1] * 20)
 
 
@@ -154,16 +154,16 @@
     assert not after, (after, context.ended)
 
 
-@then("it has said once that it leaves the group alone")
+@then("it has logged once that the check was aborted")
 def _(context):
-    said = [c.args[0] for c in context.warned.call_args_list]
-    assert said.count(ABORTED) == 1, (said, context.ended)
+    logged = [c.args[0] for c in context.warned.call_args_list]
+    assert logged.count(ABORTED) == 1, (logged, context.ended)
 
 
-@then("it looks after the group again under the next fence")
+@then("it manages the group again under the next fence")
 def _(context):
     assert not context.ended, context.ended
-    if not context.retaken:
+    if not context.reacquired:
         context.group.acquire(2)
     context.clock.pump([0.1] * 20)
     assert not context.ended, context.ended
@@ -174,7 +174,7 @@
     _check_changed(context)
 
 
-@then("the change is brought to its end")
+@then("the change is completed")
 def _(context):
     assert not context.ended, context.ended
     assert {fence for _, _, fence in context.ranks.sent} == {1}
@@ -182,13 +182,13 @@
 
 
 def _check_changed(context):
-    """Check that the group goes on, with all armed for one change."""
+    """Check that no rank holds the group and all are armed for one change."""
     found = context.ranks.by_name.values()
     assert all(item.held is None for item in found), found
     armed = {item.armed for item in found}
     assert len(armed) == 1 and None not in armed, found
 
 
-@then("its work has ended in order")
+@then("its controller has ended without an error")
 def _(context):
     assert context.ended == [None], context.ended
--- a/features/steps/agent_stop_steps.py
+++ b/features/steps/agent_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps on an agent that stops while a call of its own is on its way."""
+"""Steps on an agent that stops while one of its calls is pending."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -17,16 +17,15 @@
 
 from features import holder_fakes
 
-# What a stop keeps for its connections at least, in seconds, here: peers and
-# probes are answered within half of it.
-CLOSES_S = 0.5
+# Minimum time that a stop leaves to close connections, in seconds.
+MIN_CLOSE_S = 0.5
 
 
 # The lease.
 
 
 class _Lease:
-    """A lease whose renewals are answered when a test says so."""
+    """A lease whose renewals stay pending until the test answers them."""
 
     def __init__(self):
         self.calls = []
@@ -44,15 +43,15 @@
         return 1
 
 
-class _Own:
-    """A rank that is the first of a group at rest."""
+class _LocalRank:
+    """The first rank of a group without a change in progress."""
 
     async def report(self, *, counts, experts):
-        found = types.SimpleNamespace(
+        state = types.SimpleNamespace(
             size=4, number=0, prepared=None, held=None, open=True
         )
-        found.epoch = found.step = 1
-        return types.SimpleNamespace(rank=found)
+        state.epoch = state.step = 1
+        return types.SimpleNamespace(rank=state)
 
 
 class _Group:
@@ -63,7 +62,7 @@
     limits = None
 
     async def learn_limits(self):
-        """Know the limits, or wait for them."""
+        """Return at once, or wait until the test answers the limits."""
         if self.limits is not None:
             await self.limits
 
@@ -81,7 +80,7 @@
         reactor=context.clock,
         clock=clock.FakeClock(),
         lease_for=lambda _: context.lease,
-        local_rank=_Own(),
+        local_rank=_LocalRank(),
         group=context.group,
         members=types.SimpleNamespace(
             following=False, group="g", record_local_rank=lambda _: None
@@ -89,7 +88,7 @@
     )
 
 
-@given("a keeper of a lease whose renewal is on its way")
+@given("a lease keeper with a pending renewal")
 def _(context):
     _make_keeper(context)
     context.keeper.start()
@@ -97,12 +96,12 @@
     assert context.lease.calls == ["renew"], context.lease.calls
 
 
-@when("the keeper is told to stop")
+@when("the lease keeper is stopped")
 def _(context):
     context.stopped = defer.ensureDeferred(context.keeper.stop())
 
 
-@then("the lease is left only after the renewal has been answered")
+@then("the lease is released only after the renewal has been answered")
 def _(context):
     assert context.lease.calls == ["renew"], context.lease.calls
     context.lease.renewals[0].callback(True)
@@ -110,7 +109,7 @@
     assert context.lease.calls == ["renew", "leave"], context.lease.calls
 
 
-@given("a keeper of a lease that asks for the limits before its renewal")
+@given("a lease keeper that reads the limits before its renewal")
 def _(context):
     _make_keeper(context)
     context.group.limits = defer.Deferred()
@@ -125,7 +124,7 @@
     context.clock.advance(lease_keeper.NON_CANDIDATE_POLL_S)
 
 
-@then("the lease has been left and not renewed")
+@then("the lease has been released and not renewed")
 def _(context):
     assert context.lease.calls == ["leave"], context.lease.calls
 
@@ -133,35 +132,33 @@
 # A change in progress at the stop of its holder.
 
 
-@given(
-    "a holder whose order to hold the group is carried out but not answered"
-)
+@given("a holder whose order to hold the group is executed but not answered")
 def _(context):
     holder_fakes.make_holder(context)
 
 
-@given(
-    "a holder whose order to hold the group is carried out {seconds:g} s late"
-)
+@given("a holder whose order to hold the group is executed {seconds:g} s late")
 def _(context, seconds):
     holder_fakes.make_holder(context)
     made = context.ranks
 
-    def later(member, found):
+    def later(member, state):
         context.clock.callLater(
-            seconds, made.by_name.__setitem__, member, found
+            seconds, made.by_name.__setitem__, member, state
         )
 
-    made.carry_out = later
+    made.execute = later
 
 
-@given("a holder whose order to hold the group is followed by silence")
+@given(
+    "a holder whose ranks stop responding after its order to hold the group"
+)
 def _(context):
     holder_fakes.make_holder(context)
-    context.ranks.silent_looks = math.inf
+    context.ranks.unresponsive_queries = math.inf
 
 
-@when("the holder is told to stop meanwhile")
+@when("the holder is stopped meanwhile")
 def _(context):
     context.ranks.on_hold = context.group.stop
     context.group.acquire(1)
@@ -172,26 +169,26 @@
     context.clock.pump([0.1] * 100)
 
 
-@then("no rank is held once its work has ended")
+@then("no rank is held once its controller has ended")
 def _(context):
     assert context.ended[:1] == [None], context.ended
     held = [r for r in context.ranks.by_name.values() if r.held is not None]
     assert not held, held
 
 
-@then("its work has ended within {limit:d} s")
+@then("its controller has ended within {limit:d} s")
 def _(context, limit):
     assert context.ended[:1] == [None], context.ended
     assert context.ended[1] < limit, context.ended
 
 
-# The whole agent.
+# The complete agent.
 
 ADAPTER = "features_agent_stop_adapter"
 
 
 def _make_agent(reactor, grace):
-    """Make an agent on an adapter that reaches nothing."""
+    """Create an agent with an adapter that reaches nothing."""
     lease = _Lease()
     parts = types.SimpleNamespace(
         port_for=lambda _: None,
@@ -201,7 +198,7 @@
     )
     module = types.ModuleType(ADAPTER)
     module.make_agent = lambda **_: parts
-    given = types.SimpleNamespace(
+    settings = types.SimpleNamespace(
         adapter=ADAPTER,
         peer="127.0.0.1:1",
         engine="http://127.0.0.1:2",
@@ -209,17 +206,17 @@
         grace=grace,
     )
     with mock.patch.dict(sys.modules, {ADAPTER: module}):
-        return rank_agent.RankAgent(reactor=reactor, settings=given), lease
+        return rank_agent.RankAgent(reactor=reactor, settings=settings), lease
 
 
-def _make_stopping(context, seconds, looking):
+def _make_stopping_agent(context, seconds, looking):
     context.clock = task.Clock()
     grace = datetime.timedelta(seconds=seconds)
     context.agent, lease = _make_agent(context.clock, grace)
-    context.left_at = None
+    context.released_at = None
 
     async def leave():
-        context.left_at = context.clock.seconds()
+        context.released_at = context.clock.seconds()
 
     lease.leave = leave
     listener = context.agent._listener
@@ -236,38 +233,38 @@
 
 
 @given(
-    "an agent with a grace time of {seconds:d} s whose work at the group "
+    "an agent with a grace time of {seconds:d} s whose group controller "
     "never ends"
 )
 def _(context, seconds):
-    _make_stopping(context, seconds, defer.Deferred())
+    _make_stopping_agent(context, seconds, defer.Deferred())
 
 
 @given(
-    "an agent with a grace time of {seconds:d} s whose work at the group "
+    "an agent with a grace time of {seconds:d} s whose group controller "
     "has failed"
 )
 def _(context, seconds):
-    _make_stopping(context, seconds, defer.fail(ValueError("broken")))
+    _make_stopping_agent(context, seconds, defer.fail(ValueError("broken")))
 
 
-@when("the agent is told to stop and {seconds:d} s have passed")
-@when("the agent is told to stop and {seconds:d} s has passed")
+@when("the agent is stopped and {seconds:d} s have passed")
+@when("the agent is stopped and {seconds:d} s has passed")
 def _(context, seconds):
-    with mock.patch.object(rank_agent.LOG, "warning") as told:
+    with mock.patch.object(rank_agent.LOG, "warning") as warning:
         defer.ensureDeferred(context.agent.stop())
         context.clock.pump([0.1] * (seconds * 10))
-    context.warnings = told.call_args_list
+    context.warnings = warning.call_args_list
 
 
-@then("its lease was left while it had time to close its connections")
+@then("its lease was released while it had time to close its connections")
 def _(context):
-    assert context.left_at is not None, "the lease was not left"
+    assert context.released_at is not None, "the lease was not released"
     (within,) = context.within
-    assert within.total_seconds() >= CLOSES_S, (within, context.left_at)
+    assert within.total_seconds() >= MIN_CLOSE_S, (within, context.released_at)
 
 
-@then("its log names the step that was given up")
+@then("its log names the step that timed out")
 def _(context):
-    (told,) = context.warnings
-    assert "step" in told.kwargs, told
+    (warning,) = context.warnings
+    assert "step" in warning.kwargs, warning
--- a/features/steps/entry_groups_steps.py
+++ b/features/steps/entry_groups_steps.py
@@ -1,4 +1,4 @@
-"""Steps on entries that know the groups of ranks."""
+"""Steps on entries that discover the groups of ranks."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -15,7 +15,7 @@
 
 TARGET = "push"
 SLOTS = 6
-GOOD_S = 0.12
+MAX_PAUSE_S = 0.12
 GROUPS = {"first": "g0", "second": "g1"}
 
 
@@ -49,14 +49,14 @@
             kind=route.STREAM,
             shares=(),
             timeout_s=8.0,
-            pause_s=GOOD_S,
+            pause_s=MAX_PAUSE_S,
         ),
         choice=None,
     )
 
 
 def _open_groups(context):
-    """Return the groups whose ranks a request may be sent to."""
+    """Return the groups that may receive requests."""
     rows = context.listing.directory.candidates(TARGET)
     rows = context.outages.filter_open(context.asked, rows)
     return {row.group for row in rows if row.local_in_flight < row.slots}
@@ -69,8 +69,8 @@
         context.outages.record_refused(context.asked, name)
 
 
-@then("requests go to the second group alone")
-@then("the next go to the second group alone")
+@then("requests go only to the second group")
+@then("the next ones go only to the second group")
 def _(context):
     assert _open_groups(context) == {"g1"}, _open_groups(context)
 
@@ -139,7 +139,7 @@
 
 
 def _known(made, name):
-    """Return the groups that an entry has logged, by start."""
+    """Return the groups that an entry has logged, by upstream start."""
     text = "Learned the group of an upstream."
     rows = [row for row in made.log_lines(name) if row["text"] == text]
     return {row["start"]: row["group"] for row in rows}
@@ -148,15 +148,17 @@
 @then("both entries know the group of every rank within {seconds:d} s")
 def _(context, seconds):
     made = context.cluster
-    wanted = {
+    expected = {
         short_hash.of(f"{name}@{ranked.ranks.BORN_MS}"): name
         for name in made.workers
     }
-    wanted |= {short_hash.of(name): name for name in made.workers}
+    expected |= {short_hash.of(name): name for name in made.workers}
 
     def all_known():
         for entry in made.http:
-            found = {wanted.get(n): g for n, g in _known(made, entry).items()}
+            found = {
+                expected.get(n): g for n, g in _known(made, entry).items()
+            }
             if len(found) < len(made.workers):
                 return False
             assert set(found.values()) == {"g0", "g1"}, found
@@ -166,10 +168,10 @@
     wait_for(all_known, "the groups", seconds)
 
 
-@then("only one entry has asked the agents")
+@then("only one entry has queried the agents")
 def _(context):
     made = context.cluster
-    asked = [
+    querying = [
         name
         for name in made.http
         if any(
@@ -177,4 +179,4 @@
             for row in made.log_lines(name)
         )
     ]
-    assert len(asked) == 1, asked
+    assert len(querying) == 1, querying
--- a/features/steps/group_steps.py
+++ b/features/steps/group_steps.py
@@ -35,11 +35,11 @@
     for number in range(count):
         _change_layout(made, f"v{number + 2}")
         time.sleep(source.uniform(0.0, 0.35))
-        _bring_about(made, what, fault)
+        _inject_fault(made, what, fault)
         made.wait_layout(2 + number, 40)
 
 
-def _bring_about(made, what, fault):
+def _inject_fault(made, what, fault):
     if what == "holder":
         victim = made.processes[_holder(made)]
         if fault == "killed":
--- a/features/steps/loops_steps.py
+++ b/features/steps/loops_steps.py
@@ -1,4 +1,4 @@
-"""Steps on loops whose work fails in ways that nobody foresaw."""
+"""Steps on loops whose work fails with unexpected errors."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -26,18 +26,20 @@
 
 
 class Work:
-    """Work that fails as long as it is told to.
+    """Work that fails a given number of times.
 
     Attributes:
-      done: How often it was done.
-      failed: How often it failed.
+      done: Number of successful calls.
+      failed: Number of failed calls.
+      fails: Number of calls that are still to fail.
+      raises: The error of a failed call.
     """
 
-    def __init__(self, gives):
+    def __init__(self, result):
         self.done = self.failed = 0
         self.fails = 0
-        self.raises = AttributeError("nobody foresaw this")
-        self._gives = gives
+        self.raises = AttributeError("an error of the test")
+        self._result = result
 
     async def __call__(self, *_, **__):
         """Do the work."""
@@ -50,7 +52,7 @@
             self.failed += 1
             raise self.raises
         self.done += 1
-        return self._gives()
+        return self._result()
 
 
 def _list(context):
@@ -63,7 +65,7 @@
 
 
 def _config(context, listeners=()):
-    """Return a configuration whose log a test gives."""
+    """Return a configuration that reads its log from the fake work."""
     made = configs.Config(
         reactor=context.reactor,
         clock=context.clock,
@@ -215,24 +217,24 @@
     context.reactor, context.clock = task.Clock(), clock.FakeClock()
     context.progress = LOOPS[name](context)
     _pass(context, 3)
-    assert context.work.done, "it did no work"
+    assert context.work.done, "the loop did no work"
 
 
-@when("its work fails {count:d} times with an error that nobody foresaw")
+@when("its work fails {count:d} times with an unexpected error")
 def _(context, count):
     context.count = context.work.fails = count
     _pass(context, 40)
 
 
-@then("it still does its work, and has told the error within {most:d} lines")
+@then("it still does its work, and has logged the error within {most:d} lines")
 def _(context, most):
     assert context.work.failed == context.count, context.work.failed
     done = context.work.done
     _pass(context, 10)
-    assert context.work.done > done, "it has ended"
-    told = [r for r in context.lines.rows if r.sentence == FAULT]
-    assert 1 <= len(told) <= most, len(told)
-    assert "nobody foresaw this" in told[0].fields["reason"], told[0]
+    assert context.work.done > done, "the loop has ended"
+    logged = [r for r in context.lines.rows if r.sentence == FAULT]
+    assert 1 <= len(logged) <= most, len(logged)
+    assert "an error of the test" in logged[0].fields["reason"], logged[0]
 
 
 @then("the metrics count {count:d} faults of it")
@@ -245,20 +247,20 @@
     assert float(faults) == count and float(age_s) < 5, text
 
 
-@when("its work fails for {seconds:d} s with an error that nobody foresaw")
+@when("its work fails for {seconds:d} s with an unexpected error")
 def _(context, seconds):
     context.work.fails = 1 << 30
     _pass(context, seconds)
 
 
-@when("its work fails for {seconds:d} s as the store is down")
+@when("its work fails for {seconds:d} s because the store is down")
 def _(context, seconds):
     context.work.raises = error.CodedError("log-down", step="read")
     context.work.fails = 1 << 30
     _pass(context, seconds)
 
 
-@then("it counts as stuck, and no more once its work succeeds")
+@then("it counts as stuck until its work succeeds")
 def _(context):
     assert context.progress.stuck
     context.work.fails = 0
@@ -271,20 +273,20 @@
     assert not context.progress.stuck
 
 
-# Parts that a configuration is told to.
+# Listeners of a configuration.
 
 
-@given("a configuration with a part that fails and one that listens")
+@given("a configuration with a listener that fails and one that works")
 def _(context):
     context.reactor, context.clock = task.Clock(), clock.FakeClock()
-    context.heard = []
+    context.received = []
 
     def fail(_):
-        raise AttributeError("nobody foresaw this")
+        raise AttributeError("an error of the test")
 
     row = (0, None)
     context.work = Work(lambda: base.Rows([row], 0, 1))
-    context.made = _config(context, [fail, context.heard.append])
+    context.made = _config(context, [fail, context.received.append])
 
 
 @when("a new version is read")
@@ -292,7 +294,7 @@
     defer.ensureDeferred(context.made._read())
 
 
-@then("the one that listens has it")
+@then("the working listener has received it")
 def _(context):
-    (state,) = context.heard
+    (state,) = context.received
     assert state.offset == 0, state
--- a/features/steps/platform_lapse_steps.py
+++ b/features/steps/platform_lapse_steps.py
@@ -1,4 +1,4 @@
-"""Steps on upstreams whose entries lapsed while the store was away."""
+"""Steps on upstreams whose entries expire during an outage of the store."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,10 +10,10 @@
 
 from standins import process
 
-GONE = "An upstream is no longer listed."
-BACK = "The list of upstreams can be read again."
-# What a line may be late beside the time that it tells of, in seconds.
-LATE_S = 1.0
+UNLISTED = "An upstream is no longer listed."
+RECOVERED = "The list of upstreams can be read again."
+# Maximum delay of a log line after its event, in seconds.
+MAX_DELAY_S = 1.0
 
 
 @when('the entries of "{one}" and "{other}" lapse while it is away')
@@ -26,7 +26,7 @@
     made = context.cluster
     made.control(down="")
     process.wait_for(
-        lambda: any(row["text"] == BACK for row in made.log_lines("f1")),
+        lambda: any(row["text"] == RECOVERED for row in made.log_lines("f1")),
         "the list to be read again",
     )
 
@@ -50,8 +50,8 @@
 @then("they have done so for no longer than its entry could still come back")
 def _(context):
     rows = context.cluster.log_lines("f1")
-    (back,) = [row["time"] for row in rows if row["text"] == BACK]
-    (gone,) = [row["time"] for row in rows if row["text"] == GONE]
+    (back,) = [row["time"] for row in rows if row["text"] == RECOVERED]
+    (gone,) = [row["time"] for row in rows if row["text"] == UNLISTED]
     kept_s = gone - back
-    most_s = directory.RELIST_GRACE_S + LATE_S
-    assert directory.RELIST_GRACE_S - LATE_S < kept_s < most_s, kept_s
+    most_s = directory.RELIST_GRACE_S + MAX_DELAY_S
+    assert directory.RELIST_GRACE_S - MAX_DELAY_S < kept_s < most_s, kept_s
--- a/features/steps/platform_layout_steps.py
+++ b/features/steps/platform_layout_steps.py
@@ -10,11 +10,11 @@
 from standins import ranked, ranks
 from standins.process import wait_for
 
-# The first expert is wanted at first; these are wanted later.
-OTHERS = [5, 6]
-# Steps for which an expert is wanted where demand keeps changing.
-STEPS_WANTED = 100
-OVERTAKEN = "A newer holder has the group."
+# Experts that demand shifts to; it begins with the first expert.
+SHIFTED_EXPERTS = [5, 6]
+# Steps between shifts where demand keeps changing.
+SHIFT_STEPS = 100
+SUPERSEDED = "A newer holder has the group."
 
 
 @given("a group of ranks with agents")
@@ -22,7 +22,7 @@
     context.cluster = ranked.Ranked().__enter__()
 
 
-@when("the group has begun with the first layout")
+@when("the group runs with its first layout")
 def _(context):
     found = context.cluster.group()
     assert found["skew"] > 1.4, found
@@ -30,7 +30,7 @@
 
 @step("its skew falls below {most:f} within {seconds:d} s")
 def _(context, most, seconds):
-    # The skew of before the demand changed must not count.
+    # Skip the skew from before the demand shifted.
     steps = context.cluster.group()["steps"] + 2
 
     def level():
@@ -54,13 +54,14 @@
     assert set(made.group()["versions"]) == {0}, made.group()
 
 
-@when("other experts are wanted")
+@when("demand shifts to other experts")
 def _(context):
-    context.cluster.group(hot=OTHERS)
+    context.cluster.group(hot=SHIFTED_EXPERTS)
 
 
 @when(
-    "of the next {count:d} orders the answers are lost, and {late_s:f} s late"
+    "the next {count:d} orders are executed {late_s:f} s late and their "
+    "answers are lost"
 )
 def _(context, count, late_s):
     context.cluster.group(lose=count, late_s=late_s)
@@ -72,16 +73,16 @@
     assert context.cluster.group(restart=True)["epoch"] == before + 1
 
 
-@when("the store is away and other experts are wanted")
+@when("the store is unavailable and demand shifts to other experts")
 def _(context):
     context.cluster.control(down="silent")
-    context.cluster.group(hot=OTHERS)
+    context.cluster.group(hot=SHIFTED_EXPERTS)
 
 
-@when("an agent holds the lease for good")
+@when("an agent holds the lease permanently")
 def _(context):
     made = context.cluster
-    # While agents join, the lease moves; so many calls later all are in.
+    # The lease moves while agents join; after these calls all have joined.
     for name in made.agents:
         wait_for(lambda n=name: made.log_lines(n), f"{name} to start", 20)
     before = made.control()["calls"].get("log-join", 0)
@@ -101,7 +102,7 @@
     context.cluster.group(lose=0)
 
 
-@when("a rank starts again while the group is held")
+@when("a rank restarts while the group is held")
 def _(context):
     made = context.cluster
     _hold(made, "go")
@@ -119,7 +120,7 @@
     context.cluster.group(lose=0)
 
 
-@when("the holder and its rank fall silent while the group is held")
+@when("the holder and its rank stop responding while the group is held")
 def _(context):
     made = context.cluster
 
@@ -127,42 +128,39 @@
         process.freeze()
         made.group(mute=[made.agents.index(context.holder_name)])
 
-    # No rank may be armed by what the holder sent last: were all others
-    # armed, nobody could tell whether its own rank is, and they would wait.
+    # Lose the orders to arm: were all other ranks armed, nobody could tell
+    # whether the holder's rank is armed too, and they would wait.
     _stop_while_held(context, silence, "arm")
 
 
-@when("they are heard again")
+@when("they respond again")
 def _(context):
     made = context.cluster
     made.group(mute=[], lose=0)
     made.processes[context.holder_name].thaw()
 
 
-def _ends_a_hold(row):
-    """Tell whether a line says that a rank has ended its hold."""
+def _is_hold_end(row):
+    """Return whether a log line reports the end of a hold."""
     return row.get("order") == "go" and row.get("outcome") == "taken"
 
 
 def _texts(made, name):
-    """Return what an agent has logged, without the fields."""
+    """Return the messages that an agent has logged."""
     return [row["text"] for row in made.log_lines(name)]
 
 
 def _hold(made, lost):
-    """Have the group held: orders of one kind are lost for good."""
-    made.group(lose=1000, lose_op=lost, late_s=60, hot=OTHERS)
+    """Get the group held by losing all orders of one kind."""
+    made.group(lose=1000, lose_op=lost, late_s=60, hot=SHIFTED_EXPERTS)
     wait_for(lambda: made.group()["held_by"], "a hold", 20)
 
 
 def _stop_while_held(context, stop, lost="go"):
-    """Stop the holder's process between a hold and its end.
-
-    No order of the kind that is lost arrives, so the group stays held.
-    """
+    """Stop the holder's process while the group stays held."""
     made = context.cluster
     _hold(made, lost)
-    # The rank after the holder's holds the group.
+    # The group is held by the rank after the holder's.
     (number,) = made.group()["held_by"]
     context.holder_name = made.agents[number - 1]
     stop(made.processes[context.holder_name])
@@ -176,11 +174,11 @@
     others = [name for name in made.agents if name != context.holder_name]
 
     def finished():
-        # Whoever does it, with the lease or without, ends the hold.
+        # Any agent may do it, with or without the lease.
         new = [
             r for n in others for r in made.log_lines(n)[context.logged[n] :]
         ]
-        return any(_ends_a_hold(row) for row in new)
+        return any(_is_hold_end(row) for row in new)
 
     wait_for(finished, "another agent to finish the change", seconds)
 
@@ -191,36 +189,36 @@
     frozen = made.processes[context.holder_name]
     frozen.freeze()
     wait_for(lambda: len(made.holders()) > 1, "another holder", 20)
-    made.group(hot=OTHERS)
+    made.group(hot=SHIFTED_EXPERTS)
     frozen.thaw()
 
 
-@then("the frozen agent lets the group alone within {seconds:d} s")
+@then("the frozen agent stops managing the group within {seconds:d} s")
 def _(context, seconds):
     made, name = context.cluster, context.holder_name
 
     def replaced():
-        # Demand that changes gives whoever holds the lease orders to send.
+        # Shifting demand makes the holder send orders.
         steps = made.group()["steps"]
-        made.group(hot=[steps // STEPS_WANTED % ranks.EXPERTS])
+        made.group(hot=[steps // SHIFT_STEPS % ranks.EXPERTS])
         texts = _texts(made, name)
-        return OVERTAKEN in texts or "Lost the lease." in texts
+        return SUPERSEDED in texts or "Lost the lease." in texts
 
-    wait_for(replaced, "the old holder to give way", seconds)
+    wait_for(replaced, "the old holder to stop", seconds)
 
 
-@when("the holder is stopped in order")
+@when("the holder is stopped gracefully")
 def _(context):
     context.status = context.cluster.processes[context.holder_name].stop()
 
 
-@when("the holder is told that its settings have changed")
+@when("the holder receives a signal to reload its settings")
 def _(context):
     context.cluster.processes[context.holder_name].signal(signal.SIGHUP)
-    context.cluster.group(hot=OTHERS)
+    context.cluster.group(hot=SHIFTED_EXPERTS)
 
 
-@then("it says that it has read them")
+@then("it logs that it has reloaded them")
 def _(context):
     made, name = context.cluster, context.holder_name
 
@@ -231,7 +229,7 @@
     assert made.processes[name].running
 
 
-@then("it says that it has stopped")
+@then("it logs that it has stopped")
 def _(context):
     assert context.status == 0, context.status
     lines = context.cluster.log_lines(context.holder_name)
@@ -278,8 +276,8 @@
 
 def _holders_of(made, number):
     """Return the agents of a group that hold its lease."""
-    own = made.agents[number * ranked.SIZE : (number + 1) * ranked.SIZE]
-    return set(own) & set(made.holders())
+    agents = made.agents[number * ranked.SIZE : (number + 1) * ranked.SIZE]
+    return set(agents) & set(made.holders())
 
 
 @then("an agent of each group holds its lease within {seconds:d} s")
@@ -302,22 +300,22 @@
     )
 
 
-@when("other experts are wanted of group {number:d}")
+@when("demand of group {number:d} shifts to other experts")
 def _(context, number):
     made = context.cluster
     made.group(number, hot=[7, 11])
-    # The skew of a step on the new demand comes with the next step.
+    # The skew under the new demand is known after the next step.
     wait_for(lambda: made.group(number)["skew"] > 1.4, "a skew")
 
 
-@when("group {number:d} forms anew")
+@when("group {number:d} forms again")
 def _(context, number):
     made = context.cluster
     made.group(number, restart=True)
     wait_for(lambda: made.group(number)["skew"] > 1.4, "a skew")
 
 
-@when("the ranks of group {number:d} answer nobody")
+@when("the ranks of group {number:d} do not respond")
 def _(context, number):
     context.cluster.group(number, mute=list(range(ranked.SIZE)))
 
@@ -325,5 +323,5 @@
 @then("no step of either group began on two layouts")
 def _(context):
     for number in range(context.count):
-        told = context.cluster.group(number)
-        assert told["mixed"] == 0, told
+        found = context.cluster.group(number)
+        assert found["mixed"] == 0, found
--- a/features/steps/platform_reach_steps.py
+++ b/features/steps/platform_reach_steps.py
@@ -1,4 +1,4 @@
-"""Steps on one rank by itself, between a fake agent and an old report."""
+"""Steps on one rank with a fake agent and outdated direct reports."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -12,23 +12,23 @@
 
 
 class _Agent:
-    """Answers as an agent does, with the rank's state now."""
+    """A fake agent that reports the current state of its rank."""
 
-    def __init__(self, told):
-        self.told = told
-        self.silent = False
+    def __init__(self, state):
+        self.state = state
+        self.unresponsive = False
 
     def to(self, address):
         return self
 
     async def call(self, method, message, *, timeout_s):
-        if self.silent:
+        if self.unresponsive:
             raise link.LinkError(peer="a", step=method, written=False)
-        return rank_wire.report_to_thrift(rank_wire.RankReport(self.told))
+        return rank_wire.report_to_thrift(rank_wire.RankReport(self.state))
 
 
-class _OldPort:
-    """Takes orders; its reports are of before them."""
+class _OutdatedPort:
+    """Accepts orders; its reports do not reflect them."""
 
     def __init__(self, old):
         self.old = old
@@ -40,7 +40,7 @@
         return rank.Outcome.TAKEN
 
 
-@given("a rank whose reports to other boxes are old")
+@given("a rank whose reports to other boxes are outdated")
 def _(context):
     old = rank.Rank("g", 1, 0, 4, True, 7, 3)
     context.agent = _Agent(old._replace(held=9))
@@ -49,41 +49,41 @@
         reactor=context.reactor,
         clock=clock.SystemClock(),
         links=context.agent,
-        port_for=lambda address: _OldPort(old),
+        port_for=lambda address: _OutdatedPort(old),
     )
 
 
-def _give(context, order):
-    """Give the rank an order; let time pass until its outcome is there."""
+def _send(context, order):
+    """Send the rank an order and advance the clock until its outcome."""
     member = reach.Member("127.0.0.1:1", "127.0.0.1:2")
-    given_order = defer.ensureDeferred(
+    sending = defer.ensureDeferred(
         context.reach.order(member, order, fence=1, epoch=1)
     )
-    found = []
-    given_order.addCallback(found.append)
+    outcomes = []
+    sending.addCallback(outcomes.append)
     context.reactor.pump([0.1] * 20)
-    assert found, "the order has no outcome"
-    (context.outcome, context.told) = found[0]
+    assert outcomes, "the order has no outcome"
+    (context.outcome, context.reported) = outcomes[0]
 
 
-@when("it is given a hold")
+@when("it receives a hold")
 def _(context):
-    _give(context, rank.Hold(9))
+    _send(context, rank.Hold(9))
 
 
-@then("the state after the order is the one that its agent tells")
+@then("the state after the order is the one that its agent reports")
 def _(context):
     assert context.outcome == rank.Outcome.TAKEN
-    assert context.told == context.agent.told, context.told
+    assert context.reported == context.agent.state, context.reported
 
 
-@when("its agent is silent and it is given the end of the hold")
+@when("its agent is unresponsive and it receives the end of the hold")
 def _(context):
-    context.agent.silent = True
-    _give(context, rank.Go(9))
+    context.agent.unresponsive = True
+    _send(context, rank.Go(9))
 
 
-@then("no state is told with the outcome")
+@then("no state is returned with the outcome")
 def _(context):
     assert context.outcome == rank.Outcome.TAKEN
-    assert context.told is None, context.told
+    assert context.reported is None, context.reported
--- a/features/steps/rank_starts_steps.py
+++ b/features/steps/rank_starts_steps.py
@@ -1,4 +1,4 @@
-"""Steps on ranks that start again while their layout is changed."""
+"""Steps on ranks that restart while their layout is changed."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -13,62 +13,66 @@
 
 from features import holder_fakes
 
-BORN_MS = 1000
+STARTED_MS = 1000
 
 
 class Ranks(holder_fakes.Ranks):
-    """Two ranks, of which one starts again after some orders.
+    """Two ranks, of which one restarts after some orders.
 
     Attributes:
-      unfenced: Orders to a start that had seen no fence before, though the
-        holder had heard of it.
-      unprepared: Orders to arm for what a start had not prepared, of which the
-        holder had heard; such an order is refused.
+      unfenced: Orders to a start without a fence that had been reported to
+        the holder.
+      unprepared: Orders to arm for a layout that a reported start had not
+        prepared; such an order is refused.
     """
 
-    def __init__(self, name, after, *, told):
+    def __init__(self, name, after, *, has_start_time):
         super().__init__()
-        self.silent_looks = 0
+        self.unresponsive_queries = 0
         self.unfenced, self.unprepared = [], []
-        self._name, self._left, self._told = name, after, told
+        self._name, self._remaining_orders, self._has_start_time = (
+            name,
+            after,
+            has_start_time,
+        )
         self._fenced = set()
-        self._heard = {}
+        self._reported = {}
         for each, item in self.by_name.items():
-            born_ms = BORN_MS if told else None
+            born_ms = STARTED_MS if has_start_time else None
             self.by_name[each] = item._replace(born_ms=born_ms)
 
     async def query_all(self):
-        """Return all ranks; the holder has heard of these starts then."""
-        self._heard.update(self.by_name)
+        """Return all ranks; records that their starts were reported."""
+        self._reported.update(self.by_name)
         return dict(self.by_name)
 
     async def order(self, member, order, *, fence, epoch):
-        """Carry an order out, as a rank that checks nothing would."""
+        """Execute an order without checking its fence."""
         if isinstance(order, rank.Fence):
             self._fenced.add(member)
-        elif member not in self._fenced and self._is_heard(member):
+        elif member not in self._fenced and self._is_reported(member):
             self.unfenced.append((member, order))
         before = self.by_name[member]
         if isinstance(order, rank.Arm) and before.prepared != order.version:
-            if self._is_heard(member):
+            if self._is_reported(member):
                 self.unprepared.append((member, order))
-            self._heard[member] = before
+            self._reported[member] = before
             return rank.Outcome.REFUSED, before
         answer = await self._carry_out(member, order, fence, epoch)
-        self._left -= 1
-        if self._left == 0:
-            self._start_again()
+        self._remaining_orders -= 1
+        if self._remaining_orders == 0:
+            self._restart()
             answer = answer[0], self.by_name[member]
         self._step()
-        self._heard[member] = answer[1]
+        self._reported[member] = answer[1]
         return answer
 
-    def _is_heard(self, member):
-        """Tell whether the holder has heard of the start that is now."""
-        return self._heard[member].born_ms == self.by_name[member].born_ms
+    def _is_reported(self, member):
+        """Return whether the current start was reported to the holder."""
+        return self._reported[member].born_ms == self.by_name[member].born_ms
 
     async def _carry_out(self, member, order, fence, epoch):
-        """Carry an order out and answer it; no answer is lost here."""
+        """Execute an order and answer it; no answer is lost."""
         match order:
             case rank.Hold(step=step):
                 found = self.by_name[member]._replace(held=step)
@@ -81,10 +85,10 @@
         self.by_name[member] = found
         return rank.Outcome.TAKEN, found
 
-    def _start_again(self):
-        """Forget everything but the group, as a rank that was killed."""
+    def _restart(self):
+        """Reset everything but the group, as the restart of a rank does."""
         old = self.by_name[self._name]
-        born_ms = old.born_ms + 5 if self._told else None
+        born_ms = old.born_ms + 5 if self._has_start_time else None
         fresh = rank.Rank(
             old.group, old.epoch, old.number, old.size, True, old.step, 0, 9
         )
@@ -92,7 +96,7 @@
         self._fenced.discard(self._name)
 
     def _step(self):
-        """Begin the step that all are armed for, once nobody holds it."""
+        """Begin the armed step once all are armed and none holds it."""
         rows = self.by_name.values()
         if all(r.armed for r in rows) and all(r.held is None for r in rows):
             for name, item in self.by_name.items():
@@ -104,21 +108,22 @@
                 )
 
 
-def _holder(context, name, count, *, told):
-    context.made = Ranks(name, count, told=told)
+def _holder(context, name, count, *, has_start_time):
+    context.made = Ranks(name, count, has_start_time=has_start_time)
     holder_fakes.make_holder(context, context.made)
 
 
-@given('a holder whose rank "{name}" starts again after {count:d} orders')
+@given('a holder whose rank "{name}" restarts after {count:d} orders')
 def _(context, name, count):
-    _holder(context, name, count, told=True)
+    _holder(context, name, count, has_start_time=True)
 
 
 @given(
-    'a holder whose rank "{name}" starts again untold after {count:d} orders'
+    'a holder whose rank "{name}" restarts without a start time after '
+    "{count:d} orders"
 )
 def _(context, name, count):
-    _holder(context, name, count, told=False)
+    _holder(context, name, count, has_start_time=False)
 
 
 @when("it changes the layout")
@@ -139,7 +144,7 @@
     assert context.made.unfenced
 
 
-@then("no rank was armed for what it had not prepared")
+@then("no rank was armed for a layout that it had not prepared")
 def _(context):
     assert not context.made.unprepared, context.made.unprepared
 
@@ -150,10 +155,10 @@
     assert len(versions) == 1 and 0 not in versions, context.made.by_name
 
 
-# Counters, and what ranks hold.
+# Counters and experts of ranks.
 
 
-@when("a rank counts 100, starts again in its epoch and counts 130")
+@when("a rank counts 100, restarts in its epoch and counts 130")
 def _(context):
     found = demand.Demand()
     rows = ((100, 1000), (130, 1005))
@@ -163,36 +168,40 @@
     context.demand = found
 
 
-@then("nothing of that is taken for demand")
+@then("none of that counts as demand")
 def _(context):
     assert not any(context.demand.recent), context.demand
 
 
-@when("a rank that told what it holds starts again in its epoch")
+@when("a rank whose experts are known restarts in its epoch")
 def _(context):
     context.asked = []
-    found = rank.Rank("g", 1, 0, 1, True, 5, 0, born_ms=BORN_MS)
-    context.told = rank_wire.RankReport(found, None, ((1,),))
+    found = rank.Rank("g", 1, 0, 1, True, 5, 0, born_ms=STARTED_MS)
+    context.report = rank_wire.RankReport(found, None, ((1,),))
 
     async def report(member, *, experts, counts=True):
         context.asked.append(experts)
-        return context.told if experts else context.told._replace(experts=None)
+        return (
+            context.report
+            if experts
+            else context.report._replace(experts=None)
+        )
 
-    given_ = types.SimpleNamespace
+    namespace = types.SimpleNamespace
     made = rank_reports.RankReports(
         clock=clock.FakeClock(),
-        reach=given_(report=report),
-        members=given_(by_name={"r0": "r0"}, group="g", one_group=True),
+        reach=namespace(report=report),
+        members=namespace(by_name={"r0": "r0"}, group="g", one_group=True),
     )
     context.made = made
     for _ in range(2):
         defer.ensureDeferred(made.query_all())
-    again = found._replace(born_ms=BORN_MS + 5)
-    context.told = rank_wire.RankReport(again, None, ((2,),))
+    again = found._replace(born_ms=STARTED_MS + 5)
+    context.report = rank_wire.RankReport(again, None, ((2,),))
     defer.ensureDeferred(made.query_all())
 
 
-@then("what it holds is asked for in the next look")
+@then("its experts are requested in the next check")
 def _(context):
     defer.ensureDeferred(context.made.query_all())
     assert context.asked == [True, False, False, True], context.asked
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/group.py
@@ -303,10 +303,10 @@
         for _ in range(MAX_ROUNDS):
             # After a stop only changes that ranks hold or are armed for
             # continue.
-            wanted = None if self._stopped else self._desired
+            desired = None if self._stopped else self._desired
             orders = relayout.plan(
                 by_name,
-                desired=wanted,
+                desired=desired,
                 holder=holder,
                 margin=self._arming.margin,
             )
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/groups.py
@@ -155,7 +155,7 @@
         if report.group:
             self._record(number, report.group)
 
-    async def _query_peer(self, wanted: Iterable[int]) -> None:
+    async def _query_peer(self, requested: Iterable[int]) -> None:
         """Query one other entry for the groups that it knows."""
         peers = sorted(self._peers())
         if not peers:
@@ -166,9 +166,9 @@
             )
         except link.LinkError:
             return
-        wanted = set(wanted)
+        requested = set(requested)
         for row in reply.groups or ():
-            if row.start in wanted and row.group:
+            if row.start in requested and row.group:
                 self._record(row.start, row.group)
 
     def _record(self, number: int, group: str) -> None:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/layout.py
@@ -184,15 +184,15 @@
                 return
             held = self._held
             members = frozenset(self._members(group))
-            wanted = group.layout.version
+            target = group.layout.version
             plan = schedule.plan_round(
-                ranks, members, target=wanted, fence=held.fence, seq=self._seq
+                ranks, members, target=target, fence=held.fence, seq=self._seq
             )
             if plan.done:
                 LOG.info(
                     "The group uses its configured layout.",
                     group=name,
-                    layout=wanted,
+                    layout=target,
                 )
                 return
             if plan.waiting != logged_state:
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/rank_reports.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/rank_reports.py
@@ -170,11 +170,11 @@
         return name, report
 
     def record_in_use(
-        self, by_name: Mapping[str, rank.Rank], wanted: relayout.DesiredLayout
+        self, by_name: Mapping[str, rank.Rank], layout: relayout.DesiredLayout
     ) -> None:
         """Record the experts of ranks once all of them use a layout."""
         for name, item in by_name.items():
-            experts = tuple(row[item.number] for row in wanted.table)
+            experts = tuple(row[item.number] for row in layout.table)
             self._held_by_name[name] = _held(item, experts)
 
     def choose(
