--- a/features/delivery_process.py
+++ b/features/delivery_process.py
@@ -1,7 +1,7 @@
-"""Small processes for the steps of delivery.feature, one a word.
+"""Processes for the steps of delivery.feature, selected by an argument.
 
-Each prints one JSON value.  They run apart from the steps, as a loop of
-twisted cannot be started twice in one process.
+Each prints one JSON value.  They are separate processes since a Twisted
+reactor can't be started twice.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -22,18 +22,18 @@
 from reelscale_wire.gen import ttypes
 from twisted.internet import defer, protocol, reactor
 
-LONG_BYTES = 8_000_000
-SOON_S = 3.0
-EARLY = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+LARGE_BYTES = 8_000_000
+TIMEOUT_S = 3.0
+EARLY_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 class Peer:
-    """Takes connections in threads and keeps what it reads.
+    """Accepts connections in threads and stores what it reads.
 
     Attributes:
       address: Its "ip:port".
-      read: All bytes that it has read, of all connections.
-      accepted: Connections that it has taken.
+      read: All bytes read on all connections.
+      accepted: Number of accepted connections.
     """
 
     def __init__(self, serve: Any) -> None:
@@ -55,16 +55,16 @@
 
 
 def _answer_early(peer: Peer, conn: socket.socket) -> None:
-    """Answer the head of each request; read no long body."""
+    """Answer each request after its head, without reading a large body."""
     while data := conn.recv(2048):
         peer.read += data
-        conn.sendall(EARLY)
+        conn.sendall(EARLY_ANSWER)
         if data.startswith(b"POST"):
-            time.sleep(2 * SOON_S)
+            time.sleep(2 * TIMEOUT_S)
 
 
 def _only_read(peer: Peer, conn: socket.socket) -> None:
-    """Read until the connection ends."""
+    """Read until the connection closes."""
     try:
         while data := conn.recv(65536):
             peer.read += data
@@ -73,68 +73,68 @@
 
 
 async def _two_exchanges() -> dict[str, Any]:
-    """Send a long request that is answered early, then a short one."""
+    """Send a large request that is answered early, then a small one."""
     peer = Peer(_answer_early)
-    kept = pool.Pool(reactor=reactor, clock=clock.SystemClock())
+    kept_connections = pool.Pool(reactor=reactor, clock=clock.SystemClock())
     host = [(b"Host", b"x")]
-    long = connection.Request(b"POST", b"/", host, b"x" * LONG_BYTES)
-    short = connection.Request(b"GET", b"/", host)
-    ask = {"reactor": reactor, "timeout_s": SOON_S}
-    await fetch.fetch(kept, peer.address, long, **ask)
+    large = connection.Request(b"POST", b"/", host, b"x" * LARGE_BYTES)
+    small = connection.Request(b"GET", b"/", host)
+    options = {"reactor": reactor, "timeout_s": TIMEOUT_S}
+    await fetch.fetch(kept_connections, peer.address, large, **options)
     try:
-        await fetch.fetch(kept, peer.address, short, **ask)
+        await fetch.fetch(kept_connections, peer.address, small, **options)
     except connection.ExchangeError as lost:
         return {"code": lost.code, "accepted": peer.accepted}
     return {"code": "", "accepted": peer.accepted}
 
 
 def reuse() -> None:
-    """Tell what becomes of an exchange after one whose bytes are unsent."""
-    found: dict[str, Any] = {}
+    """Print the result of an exchange after one with unsent bytes."""
+    result: dict[str, Any] = {}
 
     async def run() -> None:
-        found.update(await _two_exchanges())
+        result.update(await _two_exchanges())
         reactor.stop()
 
     reactor.callWhenRunning(lambda: defer.ensureDeferred(run()))
     reactor.run()
-    print(json.dumps(found))
+    print(json.dumps(result))
 
 
 class Caller(protocol.Protocol):
-    """A caller's connection; calls left() when it ends."""
+    """A caller's connection; calls on_disconnect() when it closes."""
 
-    def __init__(self, left: Any) -> None:
-        self._left = left
+    def __init__(self, on_disconnect: Any) -> None:
+        self._on_disconnect = on_disconnect
 
     def connectionLost(self, reason: Any = protocol.connectionDone) -> None:  # noqa: N802
-        """Tell that the caller has gone."""
-        self._left()
+        """Report that the caller has disconnected."""
+        self._on_disconnect()
 
 
 class Callers(protocol.Factory):
-    """Serves callers; has what a listener asks of a server."""
+    """Server for callers, with the attributes that a listener needs."""
 
     noisy = False
     unsent_bytes = 0
 
-    def __init__(self, left: Any) -> None:
+    def __init__(self, on_disconnect: Any) -> None:
         self.connections: set[Any] = set()
-        self._left = left
+        self._on_disconnect = on_disconnect
 
     def buildProtocol(self, address: Any) -> Caller:  # noqa: N802
         """Return the protocol of a new caller."""
-        return Caller(self._left)
+        return Caller(self._on_disconnect)
 
     def close_idle(self) -> None:
-        """Do nothing: the one caller leaves by itself."""
+        """Do nothing: the only caller disconnects by itself."""
 
 
 def cancel() -> None:
-    """Cancel an attempt as its caller leaves; stop in the next turn.
+    """Cancel an attempt when its caller disconnects, then stop at once.
 
-    Prints how often the peer has got "cancel": once to open the link, once
-    for the attempt.
+    Prints how many times the peer received "cancel": once to open the link,
+    once for the attempt.
     """
     peer = Peer(_only_read)
     listener = process.Listener(reactor=reactor, clock=clock.SystemClock())
@@ -142,21 +142,21 @@
 
     def send(attempt: str) -> None:
         message = ttypes.Cancel(attempt=attempt)
-        asked = defer.ensureDeferred(to.call("cancel", message, timeout_s=9))
-        asked.addErrback(lambda _: None)
+        pending = defer.ensureDeferred(to.call("cancel", message, timeout_s=9))
+        pending.addErrback(lambda _: None)
 
     async def stop() -> None:
         await listener.close_connections(within=timedelta(seconds=2))
         reactor.stop()
 
-    def left() -> None:
+    def on_disconnect() -> None:
         send("attempt")
-        # Where the look of a stop, each 50 ms, falls into the next turn.
+        # The stop begins in the next iteration of the event loop.
         reactor.callLater(0, lambda: defer.ensureDeferred(stop()))
 
     async def run() -> None:
         send("opens the link")
-        await listener.listen("127.0.0.1:0", Callers(left))
+        await listener.listen("127.0.0.1:0", Callers(on_disconnect))
         port = listener._ports[0].getHost().port
         caller = socket.create_connection(("127.0.0.1", port))
         reactor.callLater(0.5, caller.close)
--- a/features/memory.feature
+++ b/features/memory.feature
@@ -9,7 +9,7 @@
 
   Scenario: A stopping entry ends after the last byte of its answers has left
     Given a cluster of its own with a fast engine
-    When an answer of 8 MB is ready for a caller who reads nothing yet
-    And its entry is told to stop and the caller begins to read when it no longer listens
-    Then the caller gets all 8 MB
+    When an answer of 8 MB is queued for a caller that does not read yet
+    And its entry receives SIGTERM and the caller reads once it no longer listens
+    Then the caller receives all 8 MB
     And the entry exits with status 0
--- a/features/platform_answers.feature
+++ b/features/platform_answers.feature
@@ -1,9 +1,9 @@
-Feature: Faulty answers of workers do no harm
+Feature: Faulty answers of workers are handled
 
   Background:
     Given a shared fleet
 
-  Scenario Outline: A request that may be repeated meets a worker's <fault>
+  Scenario Outline: An idempotent request meets a worker's <fault>
     When a client sends "GET" "/read/<fault>" with the body ""
     Then the answer is the worker's own, with status 200
     And at most 2 workers ran it
@@ -21,7 +21,7 @@
       | extra          |
       | extra-late     |
 
-  Scenario Outline: A request that may not be repeated meets a worker's <fault>
+  Scenario Outline: A request that is not idempotent meets a worker's <fault>
     Given a fleet of its own
     When a client sends "POST" "/push/<fault>" with the body "once"
     Then the answer has status <status>
@@ -42,29 +42,29 @@
       | mute           | 504    | 1    |
 
   Scenario: A surplus answer never reaches the next request
-    When 40 requests follow each other on one connection, each with a surplus
-    Then each answer is the request's own
+    When 40 requests are sent on one connection, each with a surplus answer
+    Then each answer belongs to its request
 
   Scenario: An answer that comes before the body was read
     Given a fleet of its own
     When a client sends a body of 300000 bytes to "/push/early"
     Then the answer has status 413
-    And the next request on that connection to the worker is read as sent
+    And the worker receives the next request on that connection unaltered
 
-  Scenario: A worker that is another one now is not taken for the old one
+  Scenario: A worker that reuses an address is not taken for the old one
     Given a fleet of its own
     When the address of worker "w3" is announced under another id
     Then requests to "/push/x" run at "w4" alone
 
-  Scenario: A large answer comes whole
+  Scenario: A large answer is complete
     When a client sends "GET" "/read/large" with the body ""
     Then the answer has 1000000 bytes
 
-  Scenario Outline: A stream that meets a worker's <fault> goes on elsewhere
+  Scenario Outline: A stream that meets a worker's <fault> resumes at another worker
     When a client streams "/chat/<fault>"
-    Then the stream has every event once, in order, and ends whole
+    Then the stream has every event once, in order, and is complete
     And 2 workers ran it
-    And the head is that of the first worker
+    And the head is from the first worker
 
     Examples:
       | fault |
@@ -72,27 +72,27 @@
       | torn  |
       | gap   |
 
-  Scenario: A client goes on with a stream from its last event
+  Scenario: A client resumes a stream from its last event
     When a client streams "/chat/x" from event 4 on
     Then the stream has the events from 5 on
 
-  Scenario: A client that leaves has its stream ended at the worker
-    When a client streams "/chat/slow" and leaves after the first event
+  Scenario: The stream of a client that disconnects ends at the worker
+    When a client streams "/chat/slow" and disconnects after the first event
     Then the worker sees the connection close before the stream would have ended
 
-  Scenario: A client that leaves while its request waits is not served
-    Given a fleet of its own with full workers
-    When a client sends and leaves while it waits
-    Then no worker gets the request
-
-  Scenario: A group that refuses as a whole is left alone
-    Given a fleet of one group of 4 workers that all refuse
-    When 30 streams are asked for one after the other
-    Then all are refused as not run, most without asking a worker
-    And they are told to come back after a third of their time
-    When the group takes work again
+  Scenario: The queued request of a client that disconnects is not served
+    Given a fleet of its own with fully loaded workers
+    When a client sends a request and disconnects while it is queued
+    Then no worker receives the request
+
+  Scenario: Requests to a group that refuses all of them fail fast
+    Given a fleet of one group of 4 workers that all refuse requests
+    When 30 streams are requested one after another
+    Then all are refused as not run, most without contacting a worker
+    And their Retry-After is a third of their time-out
+    When the group accepts requests again
     Then a stream is served within 2 s
 
-  Scenario: A single worker that refuses is no outage of its group
+  Scenario: A single worker that refuses is not an outage of its group
     When a client streams "/chat/shed"
-    Then the stream has every event once, in order, and ends whole
+    Then the stream has every event once, in order, and is complete
--- a/features/platform_gone.feature
+++ b/features/platform_gone.feature
@@ -1,13 +1,13 @@
-Feature: A caller who leaves ends the work on its request
+Feature: A request is cancelled when its caller disconnects
 
-  Within 0.5 s of a caller's close the work on its request has ended at every
-  upstream, and nothing more of it reaches one.
+  Within 0.5 s of the disconnect, processing of the request has ended at every
+  upstream, and nothing more of it is sent to one.
 
-  Scenario Outline: Leaving before the answer: <path>, the caller <way>
+  Scenario Outline: Disconnect before the answer: <path>, the caller <way>
     Given a shared fleet of faulty workers
-    When a caller asks "<path>" and its request runs
+    When a caller requests "<path>" and the request runs
     And the caller <way>
-    Then the work on it ends within 0.5 s and none begins later
+    Then its processing ends within 0.5 s and none begins later
 
     Examples:
       | path         | way         |
@@ -24,11 +24,11 @@
       | /chat/headed | half-closes |
       | /chat/headed | resets      |
 
-  Scenario Outline: Leaving midway in a stream: the caller <way>
+  Scenario Outline: Disconnect during a stream: the caller <way>
     Given a shared fleet of faulty workers
-    When a caller asks "/chat/flood" and has the first events
+    When a caller requests "/chat/flood" and receives the first events
     And the caller <way>
-    Then the work on it ends within 0.5 s and none begins later
+    Then its processing ends within 0.5 s and none begins later
 
     Examples:
       | way         |
@@ -36,11 +36,11 @@
       | half-closes |
       | resets      |
 
-  Scenario Outline: Leaving while an answer waits to be read: <path>, the caller <way>
+  Scenario Outline: Disconnect while an answer is unread: <path>, the caller <way>
     Given a shared fleet of faulty workers
-    When a caller asks "<path>" and reads so little that the worker is held back
+    When a caller requests "<path>" and reads so slowly that the worker is blocked
     And the caller <way>
-    Then the work on it ends within 0.5 s and none begins later
+    Then its processing ends within 0.5 s and none begins later
 
     Examples:
       | path        | way         |
@@ -50,62 +50,62 @@
       | /read/flood | closes      |
       | /read/flood | half-closes |
 
-  Scenario Outline: Leaving while a stream goes on at another worker: the caller <way>
+  Scenario Outline: Disconnect while a stream resumes at another worker: the caller <way>
     Given a shared fleet of faulty workers
-    When a caller asks "/chat/cut-mute" and its request runs at a second worker
+    When a caller requests "/chat/cut-mute" and the request runs at a second worker
     And the caller <way>
-    Then the work on it ends within 0.5 s and none begins later
+    Then its processing ends within 0.5 s and none begins later
 
     Examples:
       | way         |
       | closes      |
       | half-closes |
 
-  Scenario: Leaving with a request of which any part is missing
+  Scenario: Disconnect with an incomplete request
     Given a shared fleet of faulty workers
-    When callers send generated parts of requests and close
-    Then nothing of these requests has reached a worker
+    When callers send generated prefixes of requests and disconnect
+    Then none of these requests has reached a worker
 
-  Scenario: Leaving at any moment
+  Scenario: Disconnect at any time
     Given a shared fleet of faulty workers
-    When callers ask on generated paths and leave at generated times
-    Then the work on each ends within 0.5 s and none begins later
+    When callers request generated paths and disconnect at generated times
+    Then the processing of each ends within 0.5 s and none begins later
 
-  Scenario: Leaving while waiting for a slot
+  Scenario: Disconnect while waiting for a slot
     Given a fleet of its own with one slot
-    When a caller takes the slot and another waits for it
+    When a caller occupies the slot and another waits for it
     And the caller closes
-    Then nobody waits within 0.5 s
-    And the slot goes to the next caller and not to the one who left
+    Then no request is queued after 0.5 s
+    And the next caller gets the slot, not the disconnected one
 
-  Scenario: Leaving between two attempts
+  Scenario: Disconnect between two attempts
     Given a fleet of its own with two workers of one slot each
-    When a caller is refused by a worker and waits for another
+    When a caller is refused by a worker and waits for another worker
     And the caller closes
-    Then nobody waits within 0.5 s
-    And the slot goes to the next caller and not to the one who left
+    Then no request is queued after 0.5 s
+    And the next caller gets the slot, not the disconnected one
 
-  Scenario: Leaving while a connection to a worker is opened
-    Given a fleet of its own with a worker that accepts no connection
-    When a caller asks and a connection to the worker is being opened
+  Scenario: Disconnect while a connection to a worker is opened
+    Given a fleet of its own with a worker that accepts no connections
+    When a caller sends a request and a connection to the worker is being opened
     And the caller closes
-    Then the opening is given up within 0.5 s
-    And the worker gets no connection
+    Then the connection attempt is cancelled within 0.5 s
+    And the worker receives no connection
 
-  Scenario: Leaving midway in a stream through an agent
+  Scenario: Disconnect during a stream through an agent
     Given a cluster of its own with one engine
-    When a caller of the cluster has the first events of a long answer
+    When a caller of the cluster receives the first events of a long answer
     And the caller closes
-    Then the engine's work on it ends within 0.5 s
+    Then the engine stops processing it within 0.5 s
 
-  Scenario: Leaving while waiting for a slot behind an agent
+  Scenario: Disconnect while waiting for a slot at an agent
     Given a cluster of its own with one engine
     When a caller of the cluster waits for the one slot
     And the caller closes
-    Then nobody waits at the cluster's entry within 0.5 s
-    And the next request runs and the engine never saw the one who left
+    Then no request is queued at the cluster's entry after 0.5 s
+    And the next request runs and the engine never receives the cancelled one
 
-  Scenario: Leaving while an entry asks its agents for slots
+  Scenario: Disconnect while an entry requests slots from its agents
     Given a request that waits for the grants of its target
-    When its caller leaves and a grant comes
-    Then it takes no slot and goes nowhere
+    When its caller disconnects and a grant arrives
+    Then it takes no slot and is not sent
--- a/features/platform_leaving.py
+++ b/features/platform_leaving.py
@@ -1,4 +1,4 @@
-"""Callers that leave, and what must end soon after they have left."""
+"""Callers that disconnect, and checks that their requests end."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -11,19 +11,18 @@
 
 from standins import fleet, process
 
-# By the platform's rules, work on a request ends this soon after its
-# caller's close, in seconds, and nothing more of it reaches an upstream.
+# By the platform's rules, processing of a request ends within this time after
+# its caller disconnects.
 GONE_S = 0.5
-# Time-outs of the routes and of callers, in seconds: so long that none of
-# them ends a request before its caller leaves.
+# Time-out of routes and callers, longer than any caller stays connected.
 LONG_S = 60
-# Words of requests whose answers take longer than such callers stay.
+# Faults whose answers take longer than callers stay connected.
 LASTING = ("mute", "headed", "flood", "cut-mute", "slow")
 CLOSES, HALF_CLOSES, RESETS = WAYS = ("closes", "half-closes", "resets")
 
 
 def patient(**options):
-    """Return a fleet whose routes let requests wait and last long."""
+    """Return a fleet with long time-outs."""
     made = fleet.Fleet(**options)
     for row in made.config["routes"]:
         row["timeout_ms"] = row["slo_ms"] = LONG_S * 1000
@@ -31,11 +30,11 @@
 
 
 class Caller:
-    """A caller with a connection of its own, on which it sends one request.
+    """A caller that sends one request on its own connection.
 
     Attributes:
       id: Id of the request.
-      closed_at: Monotonic seconds at which the caller left.
+      closed_at: Monotonic seconds at which the caller disconnected.
     """
 
     def __init__(self, address, *, host=fleet.HOST, headers, window=None):
@@ -51,21 +50,21 @@
 
     def head(self, path, **rows):
         """Return the head of a request."""
-        own = {
+        headers = {
             **self._rows,
             **{k.replace("_", "-"): v for k, v in rows.items()},
         }
         lines = [f"POST {path} HTTP/1.1"]
-        lines += [f"{name}: {value}" for name, value in own.items()]
+        lines += [f"{name}: {value}" for name, value in headers.items()]
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
     def send(self, path, body=b"hello"):
-        """Send a whole request."""
+        """Send a complete request."""
         size = str(len(body))
         self.sock.sendall(self.head(path, Content_Length=size) + body)
 
     def leave(self, way):
-        """Leave in one of the ways in which callers do."""
+        """Disconnect in one of WAYS."""
         self.closed_at = time.monotonic()
         if way == HALF_CLOSES:
             self.sock.shutdown(socket.SHUT_WR)
@@ -83,19 +82,19 @@
 
 
 def wait_runs(made, caller, count=1):
-    """Wait until so many workers have begun on a caller's request."""
+    """Wait until a caller's request runs at a number of workers."""
     process.wait_for(
         lambda: len(made.runs_of(caller.id)) >= count, "the request to run"
     )
 
 
 def wait_until(instant):
-    """Wait until an instant of the monotonic clock has passed."""
+    """Wait until a time of the monotonic clock."""
     process.wait_for(lambda: time.monotonic() > instant, "the time", LONG_S)
 
 
 def check_ended(made, caller):
-    """Check that all work on a request has ended in time, for good."""
+    """Check that all processing of a request ended in time."""
     wait_until(caller.closed_at + GONE_S)
     runs = made.runs_of(caller.id)
     late = [run for run in runs if not ended_in_time(run, caller)]
@@ -104,15 +103,15 @@
 
 
 def ended_in_time(run, caller):
-    """Tell whether a run had ended soon after its caller left."""
+    """Return whether a run ended soon after its caller disconnected."""
     left_at = run["left_at"]
-    # A run that its worker has answered has no such time.
+    # A run that was answered has no such time.
     by_itself = left_at is None and run["path"].split("/")[2] not in LASTING
     return by_itself or (left_at or math.inf) < caller.closed_at + GONE_S
 
 
 def check_nothing_later(made, caller):
-    """Check that nothing of a request has reached a worker later."""
+    """Check that no later message of a request reached a worker."""
     rows = [r for name in made.workers for r in made.worker(name)["reached"]]
     latest = caller.closed_at + GONE_S
     late = [r for r in rows if r["id"] == caller.id and r["at"] > latest]
@@ -131,8 +130,8 @@
 
 
 def wait_queued(made, entry, count):
-    """Wait until so many requests wait at an entry."""
+    """Wait until a number of requests are queued at an entry."""
     process.wait_for(
         lambda: gauge(made, entry, "reelscale_queued") == count,
-        f"{count} to wait",
+        f"{count} queued requests",
     )
--- a/features/platform_silent.feature
+++ b/features/platform_silent.feature
@@ -1,10 +1,10 @@
-Feature: A connection that goes silent costs no more than a time-out of ours
+Feature: A dead connection delays a request by a time-out at most
 
-  Scenario Outline: Connections to the store are silent (<way>)
+  Scenario Outline: Connections to the store are dead (<way>)
     Given a fleet that reaches its store through a relay
     When the operator replaces the keys by "first-key"
     Then the key "first-key" is served within 2 s
-    When the open connections to the store go silent, <way>
+    When the open connections to the store stop delivering data, <way>
     And the operator replaces the keys by "fresh-key"
     Then the key "fresh-key" is served within 3 s
     When the operator replaces the keys by "key-of-acme"
@@ -18,18 +18,18 @@
       | there |
       | back  |
 
-  Scenario: An entry whose reads wait long at the store learns from its peers
+  Scenario: An entry with dead connections to the store updates from its peers
     Given a fleet of 3 entries whose "f3" reaches its store through a relay
-    When the open connections to the store go silent, both
+    When the open connections to the store stop delivering data, both
     And the operator replaces the keys by "fresh-key"
     Then entry "f3" serves the key "fresh-key" within 3 s
 
-  Scenario Outline: A call to the store meets a silent connection (<way>)
+  Scenario Outline: A call to the store meets a dead connection (<way>)
     Given a store of its own behind a relay, with 3 idle connections
-    When the open connections to the store go silent, <way>
-    Then an append has no answer after 1 s at most
+    When the open connections to the store stop delivering data, <way>
+    Then an append fails within 1 s
     And the next append is answered within 0.2 s
-    And each append is in the log once at most
+    And each append is in the log at most once
 
     Examples:
       | way   |
@@ -37,11 +37,11 @@
       | there |
       | back  |
 
-  Scenario Outline: A link to <whom> goes silent (<way>) under its calls
+  Scenario Outline: A link to <whom> dies (<way>) during its calls
     Given a link to <whom> through a relay
     When the link has been used
-    And the open connections to the peer go silent, <way>
-    Then a call over the link is lost after its time-out and not sent again
+    And the open connections to the peer stop delivering data, <way>
+    Then a call over the link fails after its time-out and is not retried
     And the next call over the link is answered
 
     Examples:
@@ -53,25 +53,25 @@
       | an entry | there |
       | an entry | back  |
 
-  Scenario: A link that went silent while it was idle loses no call
+  Scenario: A link that died while idle loses no call
     Given a link to an agent through a relay
     When the link has been used
     And the link is idle for 1.2 s
-    And the open connections to the peer go silent, both
+    And the open connections to the peer stop delivering data, both
     Then the next call over the link is answered
 
-  Scenario: A slow call takes no other call of its link with it
-    Given a peer that answers its first two calls late
-    When two calls are sent and the first is too late
-    Then the second is answered all the same
+  Scenario: A slow call does not fail other calls on its link
+    Given a peer that answers its first two calls slowly
+    When two calls are sent and the first times out
+    Then the second is still answered
     And the call after them is answered
 
-  Scenario Outline: Idle connections to workers are silent (<way>)
+  Scenario Outline: Idle connections to workers are dead (<way>)
     Given a fleet whose workers are reached through relays
-    When all open connections to workers go silent, <way>
+    When all open connections to workers stop delivering data, <way>
     And a client sends "GET" "/read/x" with the body ""
     Then the answer is the worker's own, with status 200
-    And it came within 1.5 s
+    And it arrived within 1.5 s
     And at most 2 workers ran it
     And the next 10 requests are each served within 0.5 s
 
@@ -81,12 +81,12 @@
       | there |
       | back  |
 
-  Scenario Outline: A request that must not run twice meets silence (<way>)
+  Scenario Outline: A request that is not idempotent meets a dead connection (<way>)
     Given a fleet whose workers are reached through relays
-    When all open connections to workers go silent, <way>
+    When all open connections to workers stop delivering data, <way>
     And a client sends "POST" "/push/x" with the body "once"
-    Then the answer is a success or says that its end is unknown
-    And it came within 4.5 s
+    Then the answer is a success or states an unknown outcome
+    And it arrived within 4.5 s
     And it ran at most once
     When a client sends "GET" "/read/x" with the body ""
     And a client sends "POST" "/push/x" with the body "once"
@@ -98,41 +98,41 @@
       | there |
       | back  |
 
-  Scenario: A stream that may be resumed meets a silent connection
+  Scenario: A resumable stream meets a dead connection
     Given a fleet whose workers are reached through relays
-    When all open connections to workers go silent, both
+    When all open connections to workers stop delivering data, both
     And a client sends "POST" "/chat/x" with the body "hi"
-    Then every event of the stream came once, within 1.5 s
+    Then every event of the stream arrived once, within 1.5 s
 
-  Scenario: A worker that is slow is not taken for a silent connection
+  Scenario: A slow worker is not taken for a dead connection
     Given a fleet whose workers are reached through relays
-    When 6 requests are sent at once to workers that have stopped for 2 s
-    Then at most 2 of them ran twice and all are served
+    When 6 concurrent requests are sent to workers that are frozen for 2 s
+    Then at most 2 of them ran twice and all succeeded
 
-  Scenario: Of many exchanges without an answer one ends on suspicion
-    Given 5 exchanges with a peer that began at 0 s and one of another peer
-    Then at 1.0 s one exchange of each peer ends
-    And at 2.0 s no other does
+  Scenario: One of many exchanges without an answer is aborted on suspicion
+    Given 5 exchanges with a peer that began at 0 s and one with another peer
+    Then at 1.0 s one exchange with each peer is aborted
+    And at 2.0 s no other is aborted
     When an answer begins at 2.1 s on a connection opened at 1.2 s
-    Then at 2.2 s no other does
-    And at 2.7 s all others of that peer end
+    Then at 2.2 s no other is aborted
+    And at 2.7 s all others with that peer are aborted
 
-  Scenario: A peer whose answers take long to begin is given longer
-    Given a peer whose answers took 0.1, 0.2, 0.5 and 3.0 s to begin
-    Then its answers may take 2.0 s to begin and those of others 1.0 s
+  Scenario: A slow peer has a longer first-byte time-out
+    Given a peer whose first bytes took 0.1, 0.2, 0.5 and 3.0 s
+    Then its first-byte time-out is 2.0 s and that of other peers 1.0 s
 
-  Scenario: An entry that stood still itself misses no answer that has come
+  Scenario: A frozen entry loses no answer that has arrived
     Given a fleet whose workers are reached through relays
-    When an entry stands still for 1.3 s while the answer to "/read/x" comes
-    Then that request is served and ran once
+    When an entry is frozen for 1.3 s while the answer to "/read/x" arrives
+    Then the request succeeded and ran once
 
-  Scenario Outline: Connections of callers are silent (<way>)
+  Scenario Outline: Connections of callers are dead (<way>)
     Given a fleet whose entry is reached through a relay
-    And connections end after 1 s without a request
-    When 3 callers each keep a connection
-    And the open connections of callers go silent, <way>
+    And idle connections are closed after 1 s
+    When 3 callers each keep a connection open
+    And the open connections of callers stop delivering data, <way>
     Then a caller on a new connection is served within 0.5 s
-    And the entry ends the 3 silent connections within 4 s
+    And the entry closes the 3 dead connections within 4 s
 
     Examples:
       | way   |
--- a/features/platform_stop.feature
+++ b/features/platform_stop.feature
@@ -32,17 +32,17 @@
 
   Scenario: A stopping entry ends after the last byte of its answers has left
     Given a fleet of its own
-    When 40 answers are ready for a caller who reads nothing yet
-    And the entry is told to stop and its caller begins to read when it no longer listens
-    Then the caller gets every answer whole
+    When 40 answers are queued for a caller that does not read yet
+    And the entry receives SIGTERM and the caller reads once it no longer listens
+    Then the caller receives every answer completely
     And the process ends by itself with status 0 within its grace time
 
   Scenario: A caller who never reads does not hold a stop up
     Given a fleet of its own
-    When 40 answers are ready for a caller who reads nothing yet
-    And the entry is told to stop and its caller reads nothing
+    When 40 answers are queued for a caller that does not read yet
+    And the entry receives SIGTERM and the caller does not read
     Then the process ends by itself with status 0 within its grace time
-    And its last line counts the bytes that had not left it
+    And its last log line has the number of unsent bytes
 
   Scenario: A request that outlasts the grace time is answered before the end
     Given a fleet of its own with a grace time of 2 s
@@ -53,6 +53,6 @@
 
   Scenario: An answer that its caller never took is seen in the log
     Given a fleet of its own
-    When 40 answers are ready for a caller who reads nothing yet
-    And the caller goes away without reading
-    Then the log names its last request and the bytes that it did not get
+    When 40 answers are queued for a caller that does not read yet
+    And the caller disconnects without reading
+    Then the log has its last request and the number of unsent bytes
--- a/features/silent_relays.py
+++ b/features/silent_relays.py
@@ -1,4 +1,4 @@
-"""What steps on connections that go silent share."""
+"""Shared helpers for connections that stop delivering data."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -8,18 +8,18 @@
 from features import platform_clients as clients
 from standins import silent
 
-# What the runs of steps add to a time-out on a busy machine, in seconds.
+# Allowance for a busy machine on top of a time-out.
 SLACK_S = 0.3
 
 
 def relay(context, to):
-    """Return a relay that is closed with the scenario."""
+    """Return a relay that is closed at the end of the scenario."""
     made = silent.Relay(to=to)
     context.add_cleanup(made.close)
     return made
 
 
 def set_fields(made, name, **fields):
-    """Change settings of an entry that has not started."""
+    """Change settings of an entry before it starts."""
     data, path = clients.settings_file(made, name)
     path.write_text(json.dumps({**data, **fields}))
--- a/features/slow_callers.py
+++ b/features/slow_callers.py
@@ -1,4 +1,4 @@
-"""Callers who read slowly: what steps on them share, over bare sockets."""
+"""Shared helpers for callers that read slowly, over raw sockets."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -7,19 +7,18 @@
 
 from standins import process
 
-# Less than the kernel would take by itself, so that most of the answers
-# stay in the memory of the process that writes them.
+# Below the default of the kernel, so that most of the answers stay buffered in
+# the writing process.
 WINDOW_BYTES = 16384
-# A read that lasts longer than this fails its test.
 READ_TIMEOUT_S = 30
 READ_BYTES = 1 << 20
 CONNECT_TIMEOUT_S = 2
-# The line that an entry writes once an answer is in its hands as a whole.
+# Log line of an entry once an answer is complete.
 ENDED = "A request has ended."
 
 
 def connect(address):
-    """Return a socket that takes little before its owner reads."""
+    """Return a connected socket with a small receive buffer."""
     host, port = address.rsplit(":", 1)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW_BYTES)
@@ -29,7 +28,7 @@
 
 
 def read_all(sock):
-    """Return all that comes until the connection ends, by whichever way."""
+    """Return all data until the connection is closed or reset."""
     data = bytearray()
     try:
         while piece := sock.recv(READ_BYTES):
@@ -47,7 +46,7 @@
 
 
 def wait_refused(address):
-    """Wait until a process takes no new connections any more."""
+    """Wait until a process refuses new connections."""
     host, port = address.rsplit(":", 1)
 
     def refused():
--- a/features/steps/closing_steps.py
+++ b/features/steps/closing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on connections that end while their caller still sends."""
+"""Steps on connections that close while their caller still sends."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -20,7 +20,7 @@
 JUNK = b"x" * 4 * MEGABYTE
 
 
-@given("a fleet of its own whose streams cannot go on elsewhere")
+@given("a fleet of its own whose streams are not resumable")
 def _(context):
     made = fleet.Fleet()
     made.config["routes"][0]["resumable"] = False
@@ -28,13 +28,13 @@
 
 
 def _send_and_read(context, data):
-    """Send bytes from a thread, as reading makes room; read to the end."""
+    """Send from a thread, so that reading can't block it; read to the end."""
 
     def send():
         try:
             context.sock.sendall(data)
         except OSError as failed:
-            print("could not send it all:", failed)
+            print("could not send all data:", failed)
 
     sender = threading.Thread(target=send)
     sender.start()
@@ -48,28 +48,28 @@
     return slow.head(method, path, host, headers)
 
 
-@when("the entry is told to stop and its caller uploads 4 MB, then reads")
+@when("the entry receives SIGTERM and the caller uploads 4 MB, then reads")
 def _(context):
     context.cluster.processes["f1"].signal(signal.SIGTERM)
     head = _head(context, "POST", "/read/up", **{"Content-Length": "1000000"})
     _send_and_read(context, (head + b"x" * MEGABYTE) * UPLOADS)
 
 
-@when("its caller sends what is no request and 4 MB more, then reads")
+@when("the caller sends a malformed request and 4 MB more, then reads")
 def _(context):
-    behind = _head(context, "POST", "/push/behind", **{"Content-Length": "0"})
-    data = b"no request\r\n\r\n" + behind + JUNK
+    later = _head(context, "POST", "/push/behind", **{"Content-Length": "0"})
+    data = b"no request\r\n\r\n" + later + JUNK
     _send_and_read(context, data)
 
 
-@when("its caller sends a head of 4 MB, then reads")
+@when("the caller sends a request head of 4 MB, then reads")
 def _(context):
-    behind = _head(context, "POST", "/push/behind", **{"Content-Length": "0"})
+    later = _head(context, "POST", "/push/behind", **{"Content-Length": "0"})
     head = b"GET /read/x HTTP/1.1\r\nHost: api.example\r\nLong: "
-    _send_and_read(context, head + JUNK + b"\r\n\r\n" + behind)
+    _send_and_read(context, head + JUNK + b"\r\n\r\n" + later)
 
 
-@when("its caller asks for a stream that breaks off, then reads")
+@when("the caller requests a stream that is interrupted, then reads")
 def _(context):
     made = context.cluster
     for name, (service, _) in made.workers.items():
@@ -83,11 +83,11 @@
         rows = made.log_lines("f1")
         return any(row["text"] == "An answer broke off." for row in rows)
 
-    process.wait_for(broken, "the stream to break off")
+    process.wait_for(broken, "the stream to be interrupted")
     context.read = slow.read_all(context.sock)
 
 
-@when("its caller sends what is no request and 4 MB more, and never reads")
+@when("the caller sends a malformed request and 4 MB more, and never reads")
 def _(context):
     context.sock.settimeout(1)
     try:
@@ -96,22 +96,25 @@
         pass
 
 
-@when("its entry is told to stop and its caller asks once more, then reads")
+@when(
+    "its entry receives SIGTERM and the caller sends another request, then "
+    "reads"
+)
 def _(context):
     made = context.cluster
     entry = made.entries[0][0]
     address = made.http[entry].removeprefix("http://")
     made.processes[entry].signal(signal.SIGTERM)
     slow.wait_refused(address)
-    asked = {"model": "m1", "prompt": "one", "max_tokens": 1}
-    body = json.dumps(asked).encode()
+    completion = {"model": "m1", "prompt": "one", "max_tokens": 1}
+    body = json.dumps(completion).encode()
     headers = {**made.headers(), "Content-Length": str(len(body))}
     head = slow.head("POST", "/v1/completions", address, headers)
     context.sock.sendall(head + body)
     context.read = slow.read_all(context.sock)
 
 
-@when("a caller asks for an endless answer of {kind} and never reads")
+@when("a caller requests an endless answer of {kind} and never reads")
 def _(context, kind):
     made = context.cluster
     for name in made.workers:
@@ -125,10 +128,10 @@
         rows = made.ledger()
         return rows and rows[-1].get("held_since")
 
-    process.wait_for(held, "the answer to wait for its caller")
+    process.wait_for(held, "the answer to be blocked by its caller")
 
 
-@then("its request ends within {limit:d} s, and the slot is free")
+@then("its request ends within {limit:d} s and the slot is released")
 def _(context, limit):
     made = context.cluster
 
@@ -143,14 +146,14 @@
     assert float(running) == 0, running
 
 
-def _behind(context, size):
-    """Return what was read behind the answers of the first requests."""
+def _after_answers(context, size):
+    """Return what was received after the answers of the first requests."""
     return context.read.rpartition(b"x" * size)[2]
 
 
-@then("the request that crossed is refused as not run, and no worker ran it")
+@then("the crossing request is refused as not run, and no worker ran it")
 def _(context):
-    answer = _behind(context, 1000)
+    answer = _after_answers(context, 1000)
     assert answer.startswith(b"HTTP/1.1 503"), answer
     assert b"connection: close" in answer.lower(), answer
     assert b"retry-after: 0" in answer.lower(), answer
@@ -159,7 +162,7 @@
     assert not ran, ran
 
 
-@then("the caller gets all {size:d} MB and a refusal behind them")
+@then("the caller receives all {size:d} MB, followed by a refusal")
 def _(context, size):
     head, _, rest = context.read.partition(b"\r\n\r\n")
     length = int(re.search(rb"content-length: (\d+)", head.lower())[1])
@@ -170,18 +173,18 @@
     assert b"outcome: not-run" in refusal.lower(), refusal
 
 
-@then("the last answer has status {status:d} and nothing behind it ran")
+@then("the last answer has status {status:d} and no later request ran")
 def _(context, status):
-    answer = _behind(context, 1000)
+    answer = _after_answers(context, 1000)
     assert answer.startswith(b"HTTP/1.1 %d" % status), answer
     assert answer.count(b"HTTP/1.1") == 1, answer
     ran = [r for r in context.cluster.ledger() if "behind" in r["path"]]
     assert not ran, ran
 
 
-@then("the stream has no end")
+@then("the stream has no end marker")
 def _(context):
-    answer = _behind(context, 1000)
+    answer = _after_answers(context, 1000)
     assert answer.startswith(b"HTTP/1.1 200"), answer
     assert answer.count(b"HTTP/1.1") == 1, answer
     assert b"transfer-encoding: chunked" in answer.lower(), answer
@@ -194,6 +197,6 @@
         error = context.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         return error != 0
 
-    began_at = time.monotonic()
+    started_at = time.monotonic()
     process.wait_for(lost, "the connection to be reset", limit)
-    print(f"reset after {time.monotonic() - began_at:.1f} s")
+    print(f"reset after {time.monotonic() - started_at:.1f} s")
--- a/features/steps/delivery_steps.py
+++ b/features/steps/delivery_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers and calls that have left for the caller only in part."""
+"""Steps on answers and calls that are not delivered yet."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -21,10 +21,10 @@
 from features import slow_callers as slow
 from standins import cluster, fleet, process
 
-# Small segments keep the buffer of the kernel at the other side small.
+# Small segments keep the receive buffer of the peer's kernel small.
 MSS_BYTES = 1000
-# Requests and calls that a test sends while the other side closes.
-SENT_AFTER = 5
+# Requests or calls that a test sends while the peer closes.
+REQUESTS_DURING_STOP = 5
 ROOT = pathlib.Path(__file__).parent.parent.parent
 
 
@@ -42,8 +42,7 @@
 
 
 @when(
-    "the entry is told to stop and its caller sends one more request, then "
-    "reads"
+    "the entry receives SIGTERM and the caller sends more requests, then reads"
 )
 def _(context):
     made = context.cluster
@@ -51,7 +50,7 @@
     slow.wait_refused(made.http["f1"])
     headers = made.headers()
     host = headers.pop("Host")
-    for _ in range(SENT_AFTER):
+    for _ in range(REQUESTS_DURING_STOP):
         context.sock.sendall(slow.head("GET", "/read/x", host, headers))
         time.sleep(0.02)
     context.read = slow.read_all(context.sock)
@@ -63,15 +62,15 @@
     """Return the bytes of a call of a peer."""
     frames = []
     to = TTwisted.TCallbackTransport(frames.append)
-    asked = Peer.Client(to, link.CODEC()).state(
+    pending = Peer.Client(to, link.CODEC()).state(
         ttypes.StateRequest(have_offset=-1)
     )
-    asked.addErrback(lambda _: None)
+    pending.addErrback(lambda _: None)
     return struct.pack("!i", len(frames[0])) + frames[0]
 
 
 def _unread_at(sock):
-    """Return the bytes that the other side of a connection has not read."""
+    """Return the number of bytes that the peer has not read."""
 
     def end(name):
         host, port = name
@@ -85,7 +84,7 @@
     return -1
 
 
-@when("{count:d} calls of a peer are answered and it reads nothing yet")
+@when("{count:d} calls of a peer are answered and the peer does not read yet")
 def _(context, count):
     made = context.cluster
     context.count = count
@@ -97,39 +96,39 @@
     )
 
 
-@when("the entry is told to stop and the peer sends one more call, then reads")
+@when("the entry receives SIGTERM and the peer sends more calls, then reads")
 def _(context):
     made = context.cluster
     _stop(context)
     slow.wait_refused(made.http["f1"])
-    for _ in range(SENT_AFTER):
+    for _ in range(REQUESTS_DURING_STOP):
         context.sock.sendall(_call())
         time.sleep(0.02)
     context.read = slow.read_all(context.sock)
     print(made.log_lines("f1")[-1])
 
 
-@then("the peer gets every answer")
+@then("the peer receives every answer")
 def _(context):
-    at = whole = 0
+    at = complete = 0
     while at + 4 <= len(context.read):
         (size,) = struct.unpack_from("!i", context.read, at)
         at += 4 + size
-        whole += at <= len(context.read)
-    assert whole >= context.count, (whole, len(context.read))
+        complete += at <= len(context.read)
+    assert complete >= context.count, (complete, len(context.read))
 
 
-# Callers who rest, and callers who do not.
+# Idle callers and callers that read.
 
 
-@given("a fleet of its own that lets callers rest for {seconds:d} s")
+@given("a fleet of its own with an idle timeout of {seconds:d} s")
 def _(context, seconds):
     made = fleet.Fleet()
     made.config["limits"]["idle_timeout_ms"] = seconds * 1000
     context.cluster = made.__enter__()
 
 
-@when("the caller reads {rate:d} KB a second from then on")
+@when("the caller reads {rate:d} KB per second from then on")
 def _(context, rate):
     context.read = bytearray()
     start = time.monotonic()
@@ -143,7 +142,7 @@
     print(f"read for {time.monotonic() - start:.1f} s")
 
 
-@when("a caller ends a request with an empty line and reads its answer")
+@when("a caller sends an empty line after a request and reads its answer")
 def _(context):
     made = context.cluster
     entry = made.entries[0][0]
@@ -156,7 +155,7 @@
     context.sock.sendall(b"\r\n")
 
 
-@when("its entry is told to stop")
+@when("its entry receives SIGTERM")
 def _(context):
     made = context.cluster
     made.processes[made.entries[0][0]].signal(signal.SIGTERM)
@@ -174,7 +173,7 @@
 # The end of the grace time.
 
 
-@when("a caller of HTTP/1.0 asks for 1 MB and reads nothing")
+@when("an HTTP/1.0 caller requests 1 MB and does not read")
 def _(context):
     made = context.cluster
     for name, (service, _) in made.workers.items():
@@ -183,7 +182,7 @@
     host, port = made.http["f1"].rsplit(":", 1)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, slow.WINDOW_BYTES)
-    # Small segments keep the buffer of the kernel at the other side small.
+    # Small segments keep the receive buffer of the peer's kernel small.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, MSS_BYTES)
     sock.connect((host, int(port)))
     sock.settimeout(30)
@@ -194,7 +193,7 @@
     process.wait_for(lambda: made.ledger("push"), "the request to run")
 
 
-@when("the entry is told to stop and the caller reads once it has ended")
+@when("the entry receives SIGTERM and the caller reads once it has exited")
 def _(context):
     _stop(context)
     context.cluster.processes["f1"].popen.wait(20)
@@ -206,16 +205,16 @@
         context.reset = True
 
 
-@then("the caller can tell that the answer is not whole")
+@then("the caller can detect that the answer is incomplete")
 def _(context):
     head, _, body = bytes(context.read).partition(b"\r\n\r\n")
-    told = context.reset or len(body) >= 1_000_000
-    told = told or b"content-length" in head.lower()
-    assert told, (len(body), head, context.cluster.log_lines("f1")[-1])
+    detectable = context.reset or len(body) >= 1_000_000
+    detectable = detectable or b"content-length" in head.lower()
+    assert detectable, (len(body), head, context.cluster.log_lines("f1")[-1])
 
 
 @given(
-    "a fleet whose upstream accepts nothing, with a grace time of "
+    "a fleet whose upstream accepts no connections, with a grace time of "
     "{seconds:d} s"
 )
 def _(context, seconds):
@@ -228,25 +227,25 @@
     context.full[0].listen(0)
     address = context.full[0].getsockname()
     for _ in range(4):
-        waits = socket.socket()
-        waits.setblocking(False)
-        waits.connect_ex(address)
-        context.full.append(waits)
+        filler = socket.socket()
+        filler.setblocking(False)
+        filler.connect_ex(address)
+        context.full.append(filler)
     made.workers["full"] = ("push", "b")
     made.address["full"] = f"127.0.0.1:{address[1]}"
     made.announce("full")
     made.withdraw("w2")
 
-    def known():
+    def is_listed():
         rows = made.log_lines("f1")
         listed = [r.get("name") for r in rows if "is listed" in r["text"]]
-        gone = [r.get("name") for r in rows if "no longer" in r["text"]]
-        return "full" in listed and "w2" in gone
+        removed = [r.get("name") for r in rows if "no longer" in r["text"]]
+        return "full" in listed and "w2" in removed
 
-    process.wait_for(known, "the address to be known")
+    process.wait_for(is_listed, "the address to be listed")
 
 
-@when("a request is sent {seconds:g} s after the entry is told to stop")
+@when("a request is sent {seconds:g} s after the entry receives SIGTERM")
 def _(context, seconds):
     made = context.cluster
     conn = made.connect()
@@ -257,14 +256,14 @@
     context.answer = clients.broken_off(conn.getresponse)
 
 
-@then("that request gets an answer")
+@then("that request is answered")
 def _(context):
     made = context.cluster
     made.processes["f1"].popen.wait(20)
     assert context.answer is not None, made.log_lines("f1")[-3:]
 
 
-# Connections and links, in processes of their own.
+# Connections and links, in separate processes.
 
 
 def _run(word):
@@ -276,20 +275,20 @@
     return json.loads(done.stdout)
 
 
-@given("a peer that answers a long request without reading it")
-@when("an exchange with it has ended")
-@given("a process that sends a cancel as its caller leaves")
-@when("the stop looks at it in the next turn of the loop")
+@given("a peer that answers a large request without reading it")
+@when("an exchange with the peer has ended")
+@given("a process that sends a cancel when its caller disconnects")
+@when("a stop begins in the next iteration of the event loop")
 def _(context):
-    """Do nothing yet: the process of the last step does all."""
+    """Do nothing: the process of the last step does all of it."""
 
 
 @then("the pool opens another connection for the next exchange")
 def _(context):
-    found = _run("reuse")
-    assert found == {"code": "", "accepted": 2}, found
+    outcome = _run("reuse")
+    assert outcome == {"code": "", "accepted": 2}, outcome
 
 
-@then("the peer has got the cancel")
+@then("the peer has received the cancel")
 def _(context):
     assert _run("cancel") == 2
--- a/features/steps/gone_agent_steps.py
+++ b/features/steps/gone_agent_steps.py
@@ -1,4 +1,4 @@
-"""Steps on callers that leave where an agent is on the way."""
+"""Steps on callers that disconnect from requests through an agent."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -14,7 +14,7 @@
 from features import platform_leaving as leaving
 from standins import cluster, process
 
-# Tokens of an answer that lasts longer than its caller stays.
+# Tokens of an answer that lasts longer than its caller stays connected.
 TOKENS = 100_000
 
 
@@ -37,13 +37,13 @@
 
 
 def _engine_runs(made, prompt):
-    """Return what the engine ran of a prompt."""
+    """Return the runs of a prompt at the engine."""
     url = f"{made.upstream_http[made.engines[0][0]]}/ledger"
     runs = made.client.get(url).json()["runs"]
     return [run for run in runs if run["prompt"] == prompt]
 
 
-@when("a caller of the cluster has the first events of a long answer")
+@when("a caller of the cluster receives the first events of a long answer")
 def _(context):
     context.caller = _ask_cluster(context, "leaver")
     read = b""
@@ -51,7 +51,7 @@
         read += context.caller.sock.recv(1 << 20)
 
 
-@then("the engine's work on it ends within 0.5 s")
+@then("the engine stops processing it within 0.5 s")
 def _(context):
     leaving.wait_until(context.caller.closed_at + leaving.GONE_S)
     (run,) = _engine_runs(context.cluster, "leaver")
@@ -63,12 +63,14 @@
 def _(context):
     made = context.cluster
     context.holding = _ask_cluster(context, "holder")
-    process.wait_for(lambda: _engine_runs(made, "holder"), "the slot's taking")
+    process.wait_for(
+        lambda: _engine_runs(made, "holder"), "the slot to be occupied"
+    )
     context.caller = _ask_cluster(context, "leaver")
     leaving.wait_queued(made, made.entries[0][0], 1)
 
 
-@then("nobody waits at the cluster's entry within 0.5 s")
+@then("no request is queued at the cluster's entry after 0.5 s")
 def _(context):
     made = context.cluster
     leaving.wait_queued(made, made.entries[0][0], 0)
@@ -76,7 +78,7 @@
     assert taken_s < leaving.GONE_S, taken_s
 
 
-@then("the next request runs and the engine never saw the one who left")
+@then("the next request runs and the engine never receives the cancelled one")
 def _(context):
     made = context.cluster
     leaving.wait_until(context.caller.closed_at + leaving.GONE_S)
@@ -87,8 +89,8 @@
     assert not _engine_runs(made, "leaver")
 
 
-class _Given:
-    """What admission asks of the parts, with one slot once granted."""
+class _FakeContext:
+    """Fake context of the filters, with one slot once granted."""
 
     def __init__(self):
         self.granted = False
@@ -97,7 +99,7 @@
         self.membership = self
 
     def record_demand(self, target):
-        """Note nothing."""
+        """Do nothing."""
 
     def reachable(self, target):
         return self.granted
@@ -108,40 +110,40 @@
     def queue(self, target):
         return ()
 
-    def choose(self, asked):
+    def choose(self, request):
         return routing.Choice("m1a", "wait", 0.0, 1)
 
-    def reserve(self, asked):
-        self.reserved.append(asked)
+    def reserve(self, request):
+        self.reserved.append(request)
 
 
 @given("a request that waits for the grants of its target")
 def _(context):
-    context.given = _Given()
-    context.asked = call.Call(
+    context.filters = _FakeContext()
+    context.request = call.Call(
         http=types.SimpleNamespace(),
         id="r1",
         arrived_at=0.0,
         deadline=leaving.LONG_S,
     )
     context.admitted = defer.ensureDeferred(
-        admit.admit(context.asked, context.given)
+        admit.admit(context.request, context.filters)
     )
     assert not context.admitted.called
 
 
-@when("its caller leaves and a grant comes")
+@when("its caller disconnects and a grant arrives")
 def _(context):
-    context.asked.disconnected = True
-    context.given.granted = True
-    context.given.waking.callback(None)
+    context.request.disconnected = True
+    context.filters.granted = True
+    context.filters.waking.callback(None)
 
 
-@then("it takes no slot and goes nowhere")
+@then("it takes no slot and is not sent")
 def _(context):
     failures = []
     context.admitted.addErrback(failures.append)
-    assert context.given.reserved == []
+    assert context.filters.reserved == []
     assert [f.type for f in failures] == [writer.CallerDisconnectedError], (
         failures
     )
--- a/features/steps/path_steps.py
+++ b/features/steps/path_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the whole path, as a new user would call it."""
+"""Steps of end-to-end requests."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -15,7 +15,7 @@
     return context.cluster.entries[0][0]
 
 
-@when('a caller asks for {count:d} tokens of "{prompt}" in one piece')
+@when('a caller requests {count:d} tokens of "{prompt}" without streaming')
 def _(context, count, prompt):
     context.answer = context.cluster.complete(_entry(context), prompt, count)
 
@@ -46,14 +46,14 @@
     context.answer = context.cluster.call(entry, path, method, body)
 
 
-@when('somebody with the key "{key}" asks for a completion')
+@when('a caller with the key "{key}" requests a completion')
 def _(context, key):
     headers = {"authorization": f"Bearer {key}"}
     url = f"{context.cluster.http[_entry(context)]}/v1/completions"
     context.answer = httpx.post(url, json={"model": "m1"}, headers=headers)
 
 
-@when('a caller asks for the model "{name}"')
+@when('a caller requests the model "{name}"')
 def _(context, name):
     made = context.cluster
     url = f"{made.http[_entry(context)]}/v1/completions"
@@ -68,14 +68,14 @@
     context.answer = context.cluster.call(entry, "/big", "PUT", body)
 
 
-@when("a caller's key is used to ask for the status")
+@when("the status is requested with a caller's key")
 def _(context):
     made = context.cluster
     url = f"{made.http[_entry(context)]}/operator/status"
     context.answer = httpx.get(url, headers=made.headers())
 
 
-@when("every kind of change is planned and none confirmed")
+@when("every kind of change is planned but none confirmed")
 def _(context):
     made = context.cluster
     context.before = _objects(made)
@@ -113,7 +113,7 @@
     context.offset = context.answer.json()["offset"]
 
 
-@when("an intent with 3 faults is planned")
+@when("an intent with 3 errors is planned")
 def _(context):
     changes = [
         {"kind": "leave", "upstream": "NOT A NAME"},
@@ -148,7 +148,7 @@
     assert message["content"] == engine.expected(prompt, count), message
 
 
-@then('the stream ends whole with the text of {count:d} tokens of "{prompt}"')
+@then('the stream is complete with the text of {count:d} tokens of "{prompt}"')
 def _(context, count, prompt):
     assert context.lines[-1] == "data: [DONE]", context.lines[-1]
     events = [json.loads(line[6:]) for line in context.lines[:-1]]
@@ -156,14 +156,14 @@
     assert text == engine.expected(prompt, count), text
 
 
-@then('the service saw "{method}" "{path}" with body "{body}"')
+@then('the service received "{method}" "{path}" with body "{body}"')
 def _(context, method, path, body):
     run = context.answer.json()
     assert (run["method"], run["path"], run["body"]) == (method, path, body)
     assert run["workspace"] == "acme"
 
 
-@then("the configuration is as it was")
+@then("the configuration is unchanged")
 def _(context):
     assert _objects(context.cluster) == context.before
     assert set(context.cluster.layouts().values()) == {
@@ -181,7 +181,7 @@
     context.cluster.wait_layout(context.version)
 
 
-@then("confirming again gives the same offset")
+@then("confirming again returns the same offset")
 def _(context):
     for entry, _ in context.cluster.entries:
         again = context.cluster.confirm(context.plan, entry)
@@ -193,7 +193,7 @@
     assert context.cluster.mixed_steps() == []
 
 
-@then("it lists {count:d} faults with their paths")
+@then("it lists {count:d} errors with their paths")
 def _(context, count):
     faults = context.answer.json()["faults"]
     places = {fault["path"].split("/")[2] for fault in faults}
@@ -201,7 +201,7 @@
     assert all(fault["expected"] for fault in faults)
 
 
-@then("the entry explains that request with its upstream")
+@then("the entry explains the request with its upstream")
 def _(context):
     request = context.answer.headers["reelscale-request-id"]
     with context.cluster.operator() as operator:
@@ -210,11 +210,11 @@
     assert row["attempts"][0].startswith("m1"), row
 
 
-@then("every process answers livez, readyz and metrics")
+@then("every process serves livez, readyz and metrics")
 def _(context):
     made = context.cluster
     for name, url in made.http.items():
-        # Under load an agent may get its first report late.
+        # Under load, the first report of an agent may be late.
         cluster.wait_for(lambda name=name: made.ready(name), name)
         for path in ("livez", "metrics"):
             assert made.client.get(f"{url}/{path}").status_code == 200, url
@@ -224,8 +224,8 @@
 def _(context, name):
     made = context.cluster
     text = made.client.get(f"{made.http[_entry(context)]}/metrics").text
-    wanted = "reelscale_request_seconds_bucket"
-    lines = [row for row in text.splitlines() if row.startswith(wanted)]
+    metric = "reelscale_request_seconds_bucket"
+    lines = [row for row in text.splitlines() if row.startswith(metric)]
     assert any(f'workspace="{name}"' in line for line in lines), text
 
 
@@ -253,7 +253,7 @@
     cluster.wait_for(ordered, f"an order to the role {role}")
 
 
-@then("{count:d} completions all go to other upstreams")
+@then("{count:d} completions are all sent to other upstreams")
 def _(context, count):
     made = context.cluster
     for number in range(count):
--- a/features/steps/platform_answers_steps.py
+++ b/features/steps/platform_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers: bad ones, streams, and groups that refuse."""
+"""Steps on faulty answers, streams and groups that refuse."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,22 +10,22 @@
 from features import platform_clients as clients
 from standins import fleet, process
 
-# Requests that an entry lets a worker of 6 slots have.
-FILLED = 6
+# Requests that an entry sends to a worker of 6 slots.
+WORKER_SLOTS = 6
 
 
-@given("a fleet of its own with full workers")
+@given("a fleet of its own with fully loaded workers")
 def _(context):
-    """Fill every place that an entry gives the one worker there is."""
+    """Occupy every slot of the only worker."""
     made = fleet.Fleet(workers=(("push", "a"),)).__enter__()
     context.cluster = made
     context.open = []
-    for _ in range(FILLED):
+    for _ in range(WORKER_SLOTS):
         conn = made.connect()
         clients.send(conn, made.headers(), "/push/mute")
         context.open.append(conn)
     process.wait_for(
-        lambda: len(made.ledger("push")) >= FILLED, "a full worker"
+        lambda: len(made.ledger("push")) >= WORKER_SLOTS, "a full worker"
     )
 
 
@@ -43,13 +43,11 @@
 
 @then("it ran {count:d} times")
 def _(context, count):
-    # Whatever was to run later would have been sent by now.
     assert len(context.cluster.runs_of(context.id)) == count
 
 
 @when(
-    "{count:d} requests follow each other on one connection, each with a "
-    "surplus"
+    "{count:d} requests are sent on one connection, each with a surplus answer"
 )
 def _(context, count):
     made = context.cluster
@@ -61,19 +59,19 @@
         clients.send(conn, headers, path)
         answer = conn.getresponse()
         context.pairs.append((headers["Request-Id"], answer.read()))
-        # A late surplus comes 20 ms after its answer.
+        # A late surplus answer arrives 20 ms after the answer.
         time.sleep(0.01 * (number % 4))
 
 
-@then("each answer is the request's own")
+@then("each answer belongs to its request")
 def _(context):
     for sent, body in context.pairs:
         assert body in (f"whole answer of {sent}".encode(), b""), body
-    whole = [body for _, body in context.pairs if body]
-    assert len(whole) >= len(context.pairs) // 2, len(whole)
+    complete = [body for _, body in context.pairs if body]
+    assert len(complete) >= len(context.pairs) // 2, len(complete)
 
 
-@then("the next request on that connection to the worker is read as sent")
+@then("the worker receives the next request on that connection unaltered")
 def _(context):
     clients.ask(context, "/push/x", body=b"after")
     assert context.answer.status_code == 200, context.answer
@@ -116,14 +114,14 @@
     clients.ask(context, path, body=b"prompt", Last_Event_Id=str(last))
 
 
-@then("the stream has every event once, in order, and ends whole")
+@then("the stream has every event once, in order, and is complete")
 def _(context):
     assert context.answer.status_code == 200, context.answer
     text = context.answer.text
     assert clients.events(text) == fleet.STREAM, text
 
 
-@then("the head is that of the first worker")
+@then("the head is from the first worker")
 def _(context):
     runs = context.cluster.runs_of(context.id)
     first = next(r for r in runs if "last-event-id" not in r["headers"])
@@ -136,7 +134,7 @@
     assert clients.events(context.answer.text) == fleet.STREAM[first - 1 :]
 
 
-@when('a client streams "{path}" and leaves after the first event')
+@when('a client streams "{path}" and disconnects after the first event')
 def _(context, path):
     made = context.cluster
     headers = made.headers()
@@ -161,40 +159,40 @@
             for name in made.workers
         )
 
-    # The stream itself would last another 2 s.
+    # The stream would last another 2 s.
     process.wait_for(closed, "the stream to be closed", 1.5)
 
 
-@given("a fleet of one group of {count:d} workers that all refuse")
+@given("a fleet of one group of {count:d} workers that all refuse requests")
 def _(context, count):
     workers = (("llm", "a"),) * count
     context.cluster = fleet.Fleet(workers=workers).__enter__()
 
 
-@when("{count:d} streams are asked for one after the other")
+@when("{count:d} streams are requested one after another")
 def _(context, count):
     made = context.cluster
     context.answers = [made.ask("/chat/shed") for _ in range(count)]
 
 
-@then("all are refused as not run, most without asking a worker")
+@then("all are refused as not run, most without contacting a worker")
 def _(context):
     statuses = {answer.status_code for answer in context.answers}
     assert statuses == {503}, statuses
     made = context.cluster
-    asked = sum(made.worker(name)["shed"] for name in made.workers)
-    # The first two find it out with two attempts each; then one in 0.25 s.
-    assert asked < len(context.answers) // 2, asked
+    contacted = sum(made.worker(name)["shed"] for name in made.workers)
+    # The first two make two attempts each; then one probe in 0.25 s.
+    assert contacted < len(context.answers) // 2, contacted
 
 
-@then("they are told to come back after a third of their time")
+@then("their Retry-After is a third of their time-out")
 def _(context):
     after = float(context.answers[-1].headers["retry-after"])
     # The route allows 4 s.
     assert 1.0 < after <= 4.0 / 3, after
 
 
-@when("the group takes work again")
+@when("the group accepts requests again")
 def _(context):
     made = context.cluster
     for name in made.workers:
@@ -209,7 +207,7 @@
     )
 
 
-@when("a client sends and leaves while it waits")
+@when("a client sends a request and disconnects while it is queued")
 def _(context):
     made = context.cluster
     headers = made.headers()
@@ -223,10 +221,10 @@
         item.close()
 
 
-@then("no worker gets the request")
+@then("no worker receives the request")
 def _(context):
     made = context.cluster
-    # Another one that follows is served, so that one had its chance.
+    # A later request is served, so the cancelled one would have been, too.
     process.wait_for(
         lambda: made.ask("/push/x").is_success, "the worker to be free"
     )
--- a/features/steps/platform_gone_steps.py
+++ b/features/steps/platform_gone_steps.py
@@ -1,4 +1,4 @@
-"""Steps on callers who leave before they have their answers."""
+"""Steps on callers that disconnect before they have their answers."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -13,24 +13,24 @@
 from features import platform_leaving as leaving
 from standins import process
 
-# A worker that could write nothing for this long, in seconds, is held back by
-# its reader and not by a machine that is busy.
-HELD_S = 0.3
+# A worker whose writes are blocked for this long is blocked by its reader and
+# not by a busy machine.
+BLOCKED_S = 0.3
 
-# Less than the kernel would take by itself, so that a caller who reads
-# nothing is felt by the process that writes.
+# Below the default of the kernel, so that a caller that does not read blocks
+# the writing process.
 WINDOW_BYTES = 16384
 
-# Longest time that generated callers stay, in seconds: some leave before a
-# worker has their request and some long after.
-LONGEST_STAY_S = 0.1
+# Some generated callers disconnect before a worker has their request, and
+# some long after.
+MAX_STAY_S = 0.1
 
 
 @given("a shared fleet of faulty workers")
 def _(context):
     if "cluster" not in context.holder:
         kinds = (("llm", "a"), ("llm", "a"), ("push", "a"), ("push", "a"))
-        # A slot for each caller of a step, and no refusal for the lack of one.
+        # Enough slots for all callers of a step.
         context.holder["cluster"] = leaving.patient(workers=kinds, slots=32)
     context.cluster = context.holder["cluster"]
 
@@ -49,45 +49,45 @@
 # Requests that run.
 
 
-@when('a caller asks "{path}" and its request runs')
+@when('a caller requests "{path}" and the request runs')
 def _(context, path):
     context.caller = leaving.new_caller(context.cluster)
     context.caller.send(path)
     leaving.wait_runs(context.cluster, context.caller)
 
 
-@when('a caller asks "{path}" and has the first events')
+@when('a caller requests "{path}" and receives the first events')
 def _(context, path):
     context.caller = leaving.new_caller(context.cluster)
     context.caller.send(path)
     read = b""
     while read.count(b"data:") < 3:
         read += context.caller.sock.recv(1 << 20)
-    # It reads no more, and yet the worker is still at work when it leaves.
+    # The worker still sends when the caller, which stops reading, disconnects.
 
 
 @when(
-    'a caller asks "{path}" and reads so little that the worker is held back'
+    'a caller requests "{path}" and reads so slowly that the worker is blocked'
 )
 def _(context, path):
     made = context.cluster
     context.caller = leaving.new_caller(made, window=WINDOW_BYTES)
     context.caller.send(path)
 
-    def held_back():
+    def blocked():
         since = [run["held_since"] for run in made.runs_of(context.caller.id)]
-        return since and since[0] and time.monotonic() - since[0] > HELD_S
+        return since and since[0] and time.monotonic() - since[0] > BLOCKED_S
 
-    process.wait_for(held_back, "the worker to be held back")
+    process.wait_for(blocked, "the worker to be blocked")
 
 
-@when('a caller asks "{path}" and its request runs at a second worker')
+@when('a caller requests "{path}" and the request runs at a second worker')
 def _(context, path):
     context.caller = leaving.new_caller(context.cluster)
     context.caller.send(path)
     leaving.wait_runs(context.cluster, context.caller, 2)
-    by = {run["by"] for run in context.cluster.runs_of(context.caller.id)}
-    assert len(by) == 2, by
+    workers = {run["by"] for run in context.cluster.runs_of(context.caller.id)}
+    assert len(workers) == 2, workers
 
 
 @when("the caller closes")
@@ -105,14 +105,14 @@
     context.caller.leave(leaving.RESETS)
 
 
-@then("the work on it ends within 0.5 s and none begins later")
+@then("its processing ends within 0.5 s and none begins later")
 def _(context):
     assert context.cluster.runs_of(context.caller.id)
     leaving.check_ended(context.cluster, context.caller)
     context.caller.sock.close()
 
 
-@when("callers send generated parts of requests and close")
+@when("callers send generated prefixes of requests and disconnect")
 def _(context):
     made = context.cluster
     context.callers = []
@@ -124,21 +124,21 @@
         strategies.floats(0, 1, exclude_max=True),
         strategies.sampled_from(leaving.WAYS),
     )
-    def send(path, chunked, share, way):
+    def send(path, chunked, fraction, way):
         caller = leaving.new_caller(made)
         if chunked:
             head = caller.head(path, Transfer_Encoding="chunked")
             data = head + b"5\r\nhello\r\n0\r\n\r\n"
         else:
             data = caller.head(path, Content_Length="300") + b"y" * 300
-        caller.sock.sendall(data[: int(share * len(data))])
+        caller.sock.sendall(data[: int(fraction * len(data))])
         caller.leave(way)
         context.callers.append(caller)
 
     send()
 
 
-@then("nothing of these requests has reached a worker")
+@then("none of these requests has reached a worker")
 def _(context):
     made = context.cluster
     assert len(context.callers) >= 30, len(context.callers)
@@ -149,7 +149,7 @@
     assert not [row for row in rows if row["id"] in ids]
 
 
-@when("callers ask on generated paths and leave at generated times")
+@when("callers request generated paths and disconnect at generated times")
 def _(context):
     made = context.cluster
     context.callers = []
@@ -159,7 +159,7 @@
     @hypothesis.settings(clients.GENERATED, max_examples=60)
     @hypothesis.given(
         strategies.sampled_from(paths),
-        strategies.floats(0, LONGEST_STAY_S),
+        strategies.floats(0, MAX_STAY_S),
         strategies.sampled_from(leaving.WAYS),
     )
     def stay(path, seconds, way):
@@ -172,7 +172,7 @@
     stay()
 
 
-@then("the work on each ends within 0.5 s and none begins later")
+@then("the processing of each ends within 0.5 s and none begins later")
 def _(context):
     made = context.cluster
     assert len(context.callers) >= 30, len(context.callers)
@@ -187,7 +187,7 @@
 # Requests that wait.
 
 
-@when("a caller takes the slot and another waits for it")
+@when("a caller occupies the slot and another waits for it")
 def _(context):
     made = context.cluster
     context.holding = leaving.new_caller(made)
@@ -198,7 +198,7 @@
     leaving.wait_queued(made, "f1", 1)
 
 
-@when("a caller is refused by a worker and waits for another")
+@when("a caller is refused by a worker and waits for another worker")
 def _(context):
     made = context.cluster
     context.holding = leaving.new_caller(made)
@@ -212,7 +212,7 @@
         return names[0] if names else None
 
     name = process.wait_for(undecided, "the request to reach a worker")
-    # The slot of the one that is refused goes to this one, which waits.
+    # The slot of the refused request goes to this caller, which waits.
     context.next = leaving.new_caller(made)
     context.next.send("/push/mute")
     leaving.wait_queued(made, "f1", 1)
@@ -222,14 +222,14 @@
     leaving.wait_queued(made, "f1", 1)
 
 
-@then("nobody waits within 0.5 s")
+@then("no request is queued after 0.5 s")
 def _(context):
     leaving.wait_queued(context.cluster, "f1", 0)
     taken_s = time.monotonic() - context.caller.closed_at
     assert taken_s < leaving.GONE_S, taken_s
 
 
-@then("the slot goes to the next caller and not to the one who left")
+@then("the next caller gets the slot, not the disconnected one")
 def _(context):
     made = context.cluster
     leaving.wait_until(context.caller.closed_at + leaving.GONE_S)
--- a/features/steps/platform_limit_steps.py
+++ b/features/steps/platform_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how an answer of the platform's workers states a limit."""
+"""Steps on rate limits in answers of the platform's workers."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -17,12 +17,12 @@
 def _(context, text, meaning):
     dialect = platform_worker.Dialect()
     headers = [(b"Request-Id", b"1"), (b"Server-Limit", text.encode())]
-    found = dialect.answer(connection.Head(200, headers)).rate_limit
+    limit = dialect.answer(connection.Head(200, headers)).rate_limit
     if meaning == "unreadable":
-        assert found == base.UnreadableRateLimit(text), found
+        assert limit == base.UnreadableRateLimit(text), limit
         return
     per_s = number.decimal(meaning.split()[0])
-    assert found == base.RequestsPerSecond(per_s), found
+    assert limit == base.RequestsPerSecond(per_s), limit
 
 
 ANSWERS = {
@@ -37,13 +37,13 @@
 @then("the limit of {answer} does not count")
 def _(context, answer):
     status, request_id, not_run = ANSWERS[answer]
-    answered = base.AnswerHead(status, (), request_id, not_run)
-    sent = types.SimpleNamespace(request=types.SimpleNamespace(id="r1"))
-    own = direct_answer._answers_request(sent, answered)
-    assert own == (answer in OWN_ANSWERS), answered
+    head = base.AnswerHead(status, (), request_id, not_run)
+    active = types.SimpleNamespace(request=types.SimpleNamespace(id="r1"))
+    counts = direct_answer._answers_request(active, head)
+    assert counts == (answer in COUNTED), head
 
 
-OWN_ANSWERS = (
+COUNTED = (
     "an answer with the request's id",
     "a refusal that names no request",
 )
--- a/features/steps/silent_callers_steps.py
+++ b/features/steps/silent_callers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on callers' connections that go silent."""
+"""Steps on dead connections of callers."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -20,7 +20,7 @@
     made.http["f1"] = context.relay.address
 
 
-@given("connections end after {seconds:d} s without a request")
+@given("idle connections are closed after {seconds:d} s")
 def _(context, seconds):
     made = context.cluster
     limits = {**made.config["limits"], "idle_timeout_ms": seconds * 1000}
@@ -29,17 +29,17 @@
 
 
 def _in_force(made):
-    """Tell whether entry f1 has the newest version."""
+    """Return whether entry f1 has the newest version."""
     version = made.config["version"]
     rows = made.log_lines("f1")
     return any(row.get("version") == version for row in rows)
 
 
-@when("{count:d} callers each keep a connection")
+@when("{count:d} callers each keep a connection open")
 def _(context, count):
     made = context.cluster
-    context.kept = [made.connect() for _ in range(count)]
-    for conn in context.kept:
+    context.connections = [made.connect() for _ in range(count)]
+    for conn in context.connections:
         context.add_cleanup(conn.close)
         clients.send(conn, made.headers(), "/push/x")
         assert conn.getresponse().read(), "no answer"
@@ -58,9 +58,9 @@
     assert taken_s < seconds, taken_s
 
 
-@then("the entry ends the {count:d} silent connections within {seconds:d} s")
+@then("the entry closes the {count:d} dead connections within {seconds:d} s")
 def _(context, count, seconds):
-    # The new caller's connection has been closed by its caller meanwhile.
+    # The new caller has closed its own connection by now.
     process.wait_for(
         lambda: context.relay.ended >= context.ended + count,
         "the connections to end",
--- a/features/steps/silent_judgement_steps.py
+++ b/features/steps/silent_judgement_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which exchange is taken to be on a silent connection."""
+"""Steps on the detection of dead connections."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,7 +10,7 @@
 
 
 class _Exchange:
-    """What is looked at of a connection."""
+    """Fake of a watched connection."""
 
     def __init__(self, address, opened_at, started_at):
         self.address = address
@@ -18,7 +18,7 @@
         self.started_at = started_at
 
 
-def _judge(context):
+def _make_monitor(context):
     context.clock = clock.FakeClock()
     context.since = []
     return liveness.Monitor(
@@ -30,34 +30,39 @@
     context.clock.advance(at - context.clock.monotonic())
 
 
-def _ending(context, at):
-    """Return the addresses of the exchanges that end at a time."""
+def _aborted_at(context, at):
+    """Return the addresses of the exchanges aborted at a time."""
     _set_time(context, at)
-    ended = [
-        item for item in context.left if context.monitor.should_abort(item)
+    aborted = [
+        item
+        for item in context.exchanges
+        if context.monitor.should_abort(item)
     ]
-    context.left = [item for item in context.left if item not in ended]
-    return [item.address for item in ended]
+    context.exchanges = [
+        item for item in context.exchanges if item not in aborted
+    ]
+    return [item.address for item in aborted]
 
 
 @given(
-    "{count:d} exchanges with a peer that began at 0 s and one of another peer"
+    "{count:d} exchanges with a peer that began at 0 s and one with another "
+    "peer"
 )
 def _(context, count):
-    context.monitor = _judge(context)
-    context.left = [_Exchange("one", -1.0, 0.0) for _ in range(count)]
-    context.left.append(_Exchange("other", -1.0, 0.0))
+    context.monitor = _make_monitor(context)
+    context.exchanges = [_Exchange("one", -1.0, 0.0) for _ in range(count)]
+    context.exchanges.append(_Exchange("other", -1.0, 0.0))
 
 
-@then("at {at:f} s one exchange of each peer ends")
+@then("at {at:f} s one exchange with each peer is aborted")
 def _(context, at):
-    assert _ending(context, at) == ["one", "other"]
+    assert _aborted_at(context, at) == ["one", "other"]
     assert context.since == [0.0, 0.0], context.since
 
 
-@then("at {at:f} s no other does")
+@then("at {at:f} s no other is aborted")
 def _(context, at):
-    assert _ending(context, at) == []
+    assert _aborted_at(context, at) == []
 
 
 @when("an answer begins at {at:f} s on a connection opened at {opened:f} s")
@@ -66,22 +71,22 @@
     context.monitor.record_first_byte(_Exchange("one", opened, opened))
 
 
-@then("at {at:f} s all others of that peer end")
+@then("at {at:f} s all others with that peer are aborted")
 def _(context, at):
-    assert set(_ending(context, at)) == {"one"}
-    assert context.left == [], context.left
+    assert set(_aborted_at(context, at)) == {"one"}
+    assert context.exchanges == [], context.exchanges
 
 
-@given("a peer whose answers took {most} and {last:f} s to begin")
+@given("a peer whose first bytes took {most} and {last:f} s")
 def _(context, most, last):
-    context.monitor = _judge(context)
+    context.monitor = _make_monitor(context)
     for took_s in (*map(float, most.split(",")), last):
         _set_time(context, took_s)
         context.monitor.record_first_byte(_Exchange("one", 0.0, 0.0))
 
 
 @then(
-    "its answers may take {own:f} s to begin and those of others {usual:f} s"
+    "its first-byte time-out is {own:f} s and that of other peers {usual:f} s"
 )
 def _(context, own, usual):
     assert abs(context.monitor.first_byte_timeout_s("one") - own) < 1e-6
--- a/features/steps/silent_links_steps.py
+++ b/features/steps/silent_links_steps.py
@@ -1,4 +1,4 @@
-"""Steps on links between processes that go silent."""
+"""Steps on dead links between processes."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -33,7 +33,7 @@
     query = ttypes.RankQuery(counts=False, experts=False)
     context.calls = [("rank", query), ("order_rank", order)]
     _link_to(context, data["peer"])
-    # An agent answers once it has found its rank.
+    # An agent answers once it has connected to its rank.
     process.wait_for(
         lambda: not isinstance(_call(context, 0), link.LinkError), "the agent"
     )
@@ -57,8 +57,8 @@
 @when("the link has been used")
 def _(context):
     for number in range(len(context.calls)):
-        got = _call(context, number)
-        assert not isinstance(got, Exception), got
+        answer = _call(context, number)
+        assert not isinstance(answer, Exception), answer
     context.opened = context.relay.opened
 
 
@@ -67,28 +67,30 @@
     clients.run_on_reactor(task.deferLater, reactor, seconds)
 
 
-@then("a call over the link is lost after its time-out and not sent again")
+@then("a call over the link fails after its time-out and is not retried")
 def _(context):
     start = time.monotonic()
-    got = _call(context, 1)
+    answer = _call(context, 1)
     taken_s = time.monotonic() - start
-    assert isinstance(got, link.LinkError), got
-    assert got.written, "a call that was sent counts as not sent"
+    assert isinstance(answer, link.LinkError), answer
+    assert answer.written, "a written call was reported as not written"
     assert taken_s < LINK_TIMEOUT_S + relays.SLACK_S, taken_s
-    assert context.relay.opened == context.opened, "sent on another one"
+    assert context.relay.opened == context.opened, (
+        "retried on another connection"
+    )
 
 
 @then("the next call over the link is answered")
 def _(context):
     for number in range(len(context.calls)):
-        got = _call(context, number)
-        assert not isinstance(got, Exception), got
+        answer = _call(context, number)
+        assert not isinstance(answer, Exception), answer
     assert context.relay.opened == context.opened + 1, context.relay.opened
 
 
 @implementer(Peer.Iface)
 class _SlowPeer:
-    """Answers each call after the seconds that were set for it."""
+    """Answers each call after a set delay."""
 
     def __init__(self):
         self.delays_s = [0.7, 0.6, 0.0]
@@ -100,7 +102,7 @@
         return task.deferLater(reactor, self.delays_s.pop(0), lambda: reply)
 
 
-@given("a peer that answers its first two calls late")
+@given("a peer that answers its first two calls slowly")
 def _(context):
     context.server = link.Server(handler=_SlowPeer(), reactor=reactor)
     port = reactor.listenTCP(0, context.server, interface="127.0.0.1")
@@ -115,7 +117,7 @@
     return context.link.call("state", query, timeout_s=timeout_s)
 
 
-@when("two calls are sent and the first is too late")
+@when("two calls are sent and the first times out")
 def _(context):
     async def both():
         first = defer.ensureDeferred(_ask_state(context, 1, 0.2))
@@ -125,7 +127,7 @@
     context.outcomes = clients.run_on_reactor(both)
 
 
-@then("the second is answered all the same")
+@then("the second is still answered")
 def _(context):
     (first_good, _), (second_good, second) = context.outcomes
     assert not first_good, context.outcomes
@@ -135,5 +137,5 @@
 
 @then("the call after them is answered")
 def _(context):
-    got = clients.run_on_reactor(_ask_state, context, 3, 1.0)
-    assert getattr(got, "offset", None) == 3, got
+    answer = clients.run_on_reactor(_ask_state, context, 3, 1.0)
+    assert getattr(answer, "offset", None) == 3, answer
--- a/features/steps/silent_store_steps.py
+++ b/features/steps/silent_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps on connections to the store that go silent."""
+"""Steps on dead connections to the store."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -48,9 +48,9 @@
     return sum(row["text"] == text for row in made.log_lines(entry))
 
 
-@when("the open connections {whose} go silent, {way}")
+@when("the open connections {whose} stop delivering data, {way}")
 def _(context, whose, way):
-    assert context.relay.go_silent(way) > 0, "nothing is open"
+    assert context.relay.go_silent(way) > 0, "no connection is open"
 
 
 @then('entry "{name}" serves the key "{key}" within {seconds:d} s')
@@ -83,34 +83,34 @@
         ]
         return await defer.gatherResults(appends)
 
-    got = clients.run_on_reactor(use_all)
-    assert sorted(got) == list(range(count)), got
+    outcome = clients.run_on_reactor(use_all)
+    assert sorted(outcome) == list(range(count)), outcome
     assert context.relay.open == count, context.relay.open
 
 
 def _append(context, record):
-    """Append a record; return the outcome and the seconds it took."""
+    """Append a record; return the outcome and its duration."""
     start = time.monotonic()
-    got = clients.run_on_reactor(context.store.append, TOPIC, 0, [record])
-    return got, time.monotonic() - start
+    outcome = clients.run_on_reactor(context.store.append, TOPIC, 0, [record])
+    return outcome, time.monotonic() - start
 
 
-@then("an append has no answer after {seconds:d} s at most")
+@then("an append fails within {seconds:d} s")
 def _(context, seconds):
-    got, taken_s = _append(context, b"second")
-    assert getattr(got, "code", "") == "log-down", got
+    outcome, taken_s = _append(context, b"second")
+    assert getattr(outcome, "code", "") == "log-down", outcome
     assert taken_s < seconds, taken_s
 
 
 @then("the next append is answered within {seconds:f} s")
 def _(context, seconds):
-    got, taken_s = _append(context, b"third")
-    assert isinstance(got, int), got
+    outcome, taken_s = _append(context, b"third")
+    assert isinstance(outcome, int), outcome
     assert taken_s < seconds, taken_s
 
 
-@then("each append is in the log once at most")
+@then("each append is in the log at most once")
 def _(context):
-    got = clients.run_on_reactor(context.store.read, TOPIC, 0, 0, wait_s=0)
-    assert got.rows.count(b"second") <= 1, got.rows
-    assert got.rows.count(b"third") == 1, got.rows
+    outcome = clients.run_on_reactor(context.store.read, TOPIC, 0, 0, wait_s=0)
+    assert outcome.rows.count(b"second") <= 1, outcome.rows
+    assert outcome.rows.count(b"third") == 1, outcome.rows
--- a/features/steps/silent_workers_steps.py
+++ b/features/steps/silent_workers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on connections to workers that go silent."""
+"""Steps on dead connections to workers."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -29,8 +29,8 @@
 
 
 def _warm(context, path):
-    """Send requests at once; tell whether all their workers are connected."""
-    _at_once(context, path, 6)
+    """Send requests; return whether all their workers are connected."""
+    _send_concurrently(context, path, 6)
     service = "llm" if path.startswith("/chat") else "push"
     workers = context.cluster.workers
     return all(
@@ -40,24 +40,24 @@
     )
 
 
-def _at_once(context, path, count):
-    """Send requests at the same time; return their answers."""
+def _send_concurrently(context, path, count):
+    """Send concurrent requests; return their answers."""
     made = context.cluster
     method = "POST" if path.startswith("/chat") else "GET"
     with concurrent.futures.ThreadPoolExecutor(count) as threads:
-        asked = [
+        pending = [
             threads.submit(made.ask, path, method=method) for _ in range(count)
         ]
-        return [item.result() for item in asked]
+        return [item.result() for item in pending]
 
 
-@when("all open connections to workers go silent, {way}")
+@when("all open connections to workers stop delivering data, {way}")
 def _(context, way):
     for name, relay in context.relays.items():
         assert relay.go_silent(way) > 0, name
 
 
-@then("it came within {seconds:f} s")
+@then("it arrived within {seconds:f} s")
 def _(context, seconds):
     assert context.seconds < seconds, context.seconds
 
@@ -70,7 +70,7 @@
         assert context.seconds < seconds, context.seconds
 
 
-@then("the answer is a success or says that its end is unknown")
+@then("the answer is a success or states an unknown outcome")
 def _(context):
     status = context.answer.status_code
     assert status in (200, 502, 504), context.answer
@@ -82,35 +82,35 @@
     assert len(runs) <= 1, runs
 
 
-@then("every event of the stream came once, within {seconds:f} s")
+@then("every event of the stream arrived once, within {seconds:f} s")
 def _(context, seconds):
     assert context.answer.status_code == 200, context.answer
-    found = clients.events(context.answer.text)
-    assert found == fleet.STREAM, found
+    events = clients.events(context.answer.text)
+    assert events == fleet.STREAM, events
     assert context.seconds < seconds, context.seconds
 
 
 @when(
-    "{count:d} requests are sent at once to workers that have stopped"
-    " for {seconds:d} s"
+    "{count:d} concurrent requests are sent to workers that are frozen for "
+    "{seconds:d} s"
 )
 def _(context, count, seconds):
     made = context.cluster
-    stopped = [made.processes[name] for name in made.workers]
-    for item in stopped:
+    frozen = [made.processes[name] for name in made.workers]
+    for item in frozen:
         item.freeze()
 
     def thaw():
-        for item in stopped:
+        for item in frozen:
             item.thaw()
 
     timer = threading.Timer(seconds, thaw)
     timer.start()
-    context.answers = _at_once(context, "/read/x", count)
+    context.answers = _send_concurrently(context, "/read/x", count)
     timer.join()
 
 
-@then("at most {count:d} of them ran twice and all are served")
+@then("at most {count:d} of them ran twice and all succeeded")
 def _(context, count):
     made = context.cluster
     ids = [answer.request.headers["request-id"] for answer in context.answers]
@@ -122,31 +122,32 @@
 
 
 @when(
-    "an entry stands still for {seconds:f} s while the answer to"
-    ' "{path}" comes'
+    'an entry is frozen for {seconds:f} s while the answer to "{path}" arrives'
 )
 def _(context, seconds, path):
     made = context.cluster
-    stopped = [made.processes[name] for name in made.workers]
-    wanted = made.next_id()
-    for item in stopped:
+    frozen = [made.processes[name] for name in made.workers]
+    request_id = made.next_id()
+    for item in frozen:
         item.freeze()
     with concurrent.futures.ThreadPoolExecutor(1) as threads:
-        asked = threads.submit(made.ask, path, method="GET", Request_Id=wanted)
-        # The request is in the workers' kernel by then.
+        pending = threads.submit(
+            made.ask, path, method="GET", Request_Id=request_id
+        )
+        # By then the request is in the kernel's buffer at the worker.
         time.sleep(relays.SLACK_S)
         made.processes["f1"].freeze()
         start = time.monotonic()
-        for item in stopped:
+        for item in frozen:
             item.thaw()
-        process.wait_for(lambda: made.runs_of(wanted), "the worker's run")
+        process.wait_for(lambda: made.runs_of(request_id), "the worker's run")
         time.sleep(max(0.0, start + seconds - time.monotonic()))
         made.processes["f1"].thaw()
-        context.answer = asked.result()
-    context.id = wanted
+        context.answer = pending.result()
+    context.id = request_id
 
 
-@then("that request is served and ran once")
+@then("the request succeeded and ran once")
 def _(context):
     assert context.answer.status_code == 200, context.answer
     assert len(context.cluster.runs_of(context.id)) == 1, context.id
--- a/features/steps/slow_reader_steps.py
+++ b/features/steps/slow_reader_steps.py
@@ -1,4 +1,4 @@
-"""Steps on callers who read slowly while their entry stops."""
+"""Steps on callers that read slowly while their entry stops."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -14,11 +14,11 @@
 from features import slow_callers as slow
 from standins import process, worker_faults
 
-WIDE = 10_000
+TOKEN_CHARS = 10_000
 MEGABYTE = 1_000_000
 
 
-@when("{count:d} answers are ready for a caller who reads nothing yet")
+@when("{count:d} answers are queued for a caller that does not read yet")
 def _(context, count):
     made = context.cluster
     for name, (service, _) in made.workers.items():
@@ -36,12 +36,11 @@
         rows = made.log_lines("f1")
         return sum(row["text"] == slow.ENDED for row in rows) >= count
 
-    process.wait_for(ended, "the answers to be ready")
+    process.wait_for(ended, "the answers to be queued")
 
 
 @when(
-    "the entry is told to stop and its caller begins to read when it no "
-    "longer listens"
+    "the entry receives SIGTERM and the caller reads once it no longer listens"
 )
 def _(context):
     made = context.cluster
@@ -51,18 +50,18 @@
     context.read = slow.read_all(context.sock)
 
 
-@when("the entry is told to stop and its caller reads nothing")
+@when("the entry receives SIGTERM and the caller does not read")
 def _(context):
     context.cluster.processes["f1"].signal(signal.SIGTERM)
     context.stopped_at = time.monotonic()
 
 
-@when("the caller goes away without reading")
+@when("the caller disconnects without reading")
 def _(context):
     context.sock.close()
 
 
-@then("the log names its last request and the bytes that it did not get")
+@then("the log has its last request and the number of unsent bytes")
 def _(context):
     made = context.cluster
     text = "A connection ended before its last answer had left."
@@ -71,19 +70,19 @@
         rows = made.log_lines("f1")
         return next((row for row in rows if row["text"] == text), None)
 
-    row = process.wait_for(line, "the line")
+    row = process.wait_for(line, "the log line")
     assert row["unsent_bytes"] > MEGABYTE, row
     assert row["request"] == context.last_id, (row, context.last_id)
 
 
-@then("the caller gets every answer whole")
+@then("the caller receives every answer completely")
 def _(context):
     body = b"x" * worker_faults.BULK_BYTES
-    whole = context.read.count(b"\r\n\r\n" + body)
-    assert whole == context.count, (whole, len(context.read))
+    complete = context.read.count(b"\r\n\r\n" + body)
+    assert complete == context.count, (complete, len(context.read))
 
 
-@then("its last line counts the bytes that had not left it")
+@then("its last log line has the number of unsent bytes")
 def _(context):
     rows = context.cluster.log_lines("f1")
     (last,) = [row for row in rows if row["text"] == "Stopped."]
@@ -92,14 +91,18 @@
     clients.broken_off(context.sock.close)
 
 
-@when("an answer of {size:d} MB is ready for a caller who reads nothing yet")
+@when("an answer of {size:d} MB is queued for a caller that does not read yet")
 def _(context, size):
     made = context.cluster
     entry = made.entries[0][0]
     address = made.http[entry].removeprefix("http://")
-    tokens = size * MEGABYTE // WIDE
-    asked = {"model": "m1", "prompt": f"wide {WIDE}", "max_tokens": tokens}
-    body = json.dumps(asked).encode()
+    tokens = size * MEGABYTE // TOKEN_CHARS
+    completion = {
+        "model": "m1",
+        "prompt": f"wide {TOKEN_CHARS}",
+        "max_tokens": tokens,
+    }
+    body = json.dumps(completion).encode()
     headers = {**made.headers(), "Content-Length": str(len(body))}
     before = made.processes[entry].log.read_text().count(slow.ENDED)
     context.sock = slow.connect(address)
@@ -109,13 +112,12 @@
         lambda: (
             made.processes[entry].log.read_text().count(slow.ENDED) > before
         ),
-        "the answer to be ready",
+        "the answer to be queued",
     )
 
 
 @when(
-    "its entry is told to stop and the caller begins to read when it no "
-    "longer listens"
+    "its entry receives SIGTERM and the caller reads once it no longer listens"
 )
 def _(context):
     made = context.cluster
@@ -125,7 +127,7 @@
     context.read = slow.read_all(context.sock)
 
 
-@then("the caller gets all {size:d} MB")
+@then("the caller receives all {size:d} MB")
 def _(context, size):
     head, _, body = context.read.partition(b"\r\n\r\n")
     length = re.search(rb"content-length: (\d+)", head.lower())
