--- a/features/models/suspects.py
+++ b/features/models/suspects.py
@@ -233,7 +233,7 @@
                 if item.entry is entry
             ]
             if losses:
-                entry.suspects._note_crash(start, losses)
+                entry.suspects._record_crash(start, losses)
         upstream.away = AWAY
         upstream.born += 1
 
--- a/features/steps/platform_usage_steps.py
+++ b/features/steps/platform_usage_steps.py
@@ -27,7 +27,7 @@
     for name in made.http:
         process.wait_for(
             lambda name=name: any(
-                row["text"] == "An entry is known."
+                row["text"] == "Discovered an entry."
                 for row in made.log_lines(name)
             ),
             f"{name} to know another",
--- a/features/steps/silent_store_steps.py
+++ b/features/steps/silent_store_steps.py
@@ -39,7 +39,9 @@
     made = context.cluster
     for entry in made.http:
         process.wait_for(
-            lambda entry=entry: _count(made, entry, "An entry is known.") > 1,
+            lambda entry=entry: (
+                _count(made, entry, "Discovered an entry.") > 1
+            ),
             f"{entry} to know the others",
         )
 
--- a/features/steps/suspects_steps.py
+++ b/features/steps/suspects_steps.py
@@ -167,7 +167,7 @@
 def _crash_alone(context, number):
     start = announcement.Start(f"u{number}", None)
     losses = [suspects.Loss(context.asked, 1)]
-    context.suspects._note_crash(start, losses)
+    context.suspects._record_crash(start, losses)
 
 
 @when("a request is at a crash, ends well, and is at three more crashes")
@@ -217,7 +217,7 @@
 
 def _known(made, name):
     rows = made.log_lines(name)
-    return {r["name"] for r in rows if r["text"] == "An entry is known."}
+    return {r["name"] for r in rows if r["text"] == "Discovered an entry."}
 
 
 def _ask(context, entry, path=PATH):
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -55,13 +55,13 @@
         incarnation="i",
         number=1,
         counts={},
-        heard_at=clocks.monotonic(),
+        received_at=clocks.monotonic(),
         address="127.0.0.2",
     )
-    made._count_entries()
+    made._update_entries()
 
     def heard():
-        made._tell()
+        made._broadcast()
         return len(made.entries.reachable) == 2
 
     return heard
@@ -132,7 +132,7 @@
     asked = suspects_model.Caller(1, guilty=True).call()
     for number in range(2):
         start = announcement.Start(f"u{number}", None)
-        made._note_crash(start, [suspects.Loss(asked, 1)])
+        made._record_crash(start, [suspects.Loss(asked, 1)])
     return lambda: made.convicted_s(asked) > 0
 
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspects.py
@@ -1,8 +1,7 @@
-"""Learns which requests crash upstreams, together with other entries.
+"""Identifies requests that crash upstreams, jointly with other entries.
 
-What became of an upstream whose exchange broke is found out elsewhere
-(crash_evidence.py); what follows for the requests that were there is decided
-in the core (core/suspicion.py).
+Whether an upstream has crashed is determined in crash_evidence.py; which of
+its requests are suspected or convicted is decided in core/suspicion.py.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -27,32 +26,31 @@
 from . import crash_evidence
 
 LOG = logs.Logger("suspects")
-# After a loss it is looked this much later, in seconds, whether the upstream
-# has crashed: all its connections break within some milliseconds, and it is
-# down for seconds.
+# Delay in seconds from a lost exchange to the crash check, so that the other
+# connections of a crashed upstream are closed by then.
 CRASH_CHECK_DELAY_S = 0.05
-# Records in one datagram, the newest; each takes some 45 bytes of 1,400.
-MOST_TOLD = 12
-# Starts that a told record may name; conviction comes long before.
-MOST_STARTS = 8
-OLDEST_MS = int(suspicion.RETENTION_S * 1000)
+# Records in one datagram, newest first; each takes some 45 bytes of 1,400.
+MAX_REPORTED = 12
+# Starts named in a reported record; fewer crashes suffice for a conviction.
+MAX_STARTS = 8
+MAX_AGE_MS = int(suspicion.RETENTION_S * 1000)
 VERDICTS = frozenset(suspicion.Verdict)
 
 
 class Loss(NamedTuple):
-    """A request whose exchange broke before its answer was whole.
+    """A request whose exchange broke before its answer was complete.
 
     Attributes:
-      asked: The request.
-      running: Requests that all entries had there, by what is known.
+      request: The request.
+      running: Requests in progress there from all entries, as far as known.
     """
 
-    asked: call.Call
+    request: call.Call
     running: int
 
 
 class Suspects:
-    """The requests that were there as upstreams crashed."""
+    """The requests that were in progress at upstreams that crashed."""
 
     def __init__(
         self,
@@ -62,195 +60,208 @@
         evidence: crash_evidence.CrashEvidence,
         on_update: Callable[[], None],
     ) -> None:
-        """Make it.
+        """Initialize without suspects.
 
         Args:
-          reactor: The loop.
-          clock: The time.
-          evidence: Finds out whether a start has crashed.
-          on_update: Called when there is something to tell others.
+          reactor: The reactor.
+          clock: The clock.
+          evidence: Determines whether a start has crashed.
+          on_update: Called when a change is to be sent to other entries.
         """
         self._reactor = reactor
         self._clock = clock
         self._evidence = evidence
-        self._on_news = on_update
-        self._found = suspicion.Suspects()
+        self._on_update = on_update
+        self._records = suspicion.Suspects()
         self._losses: dict[announcement.Start, list[Loss]] = {}
-        # The suspects at each start, here and at other entries.
-        self._here: dict[int, collections.Counter[int]] = {}
-        self._elsewhere: dict[str, dict[int, frozenset[int]]] = {}
+        # Suspects in progress at each start, from this and other entries.
+        self._local: dict[int, collections.Counter[int]] = {}
+        self._remote: dict[str, dict[int, frozenset[int]]] = {}
 
-    def lookup(self, asked: call.Call) -> suspicion.Record | None:
-        """Return what is known of a request, None if nothing is."""
-        if not self._found.by_digest:
+    def lookup(self, request: call.Call) -> suspicion.Record | None:
+        """Return the record of a request, None without one."""
+        if not self._records.by_digest:
             return None
-        return self._found.record(digest_of(asked), self._clock.monotonic())
+        return self._records.record(
+            digest_of(request), self._clock.monotonic()
+        )
 
-    def convicted_s(self, asked: call.Call) -> float:
-        """Return for how long a request is sent nowhere, 0 if it may go."""
-        found = self.lookup(asked)
-        if found is None or found.verdict is not suspicion.Verdict.CONVICTED:
+    def convicted_s(self, request: call.Call) -> float:
+        """Return seconds for which a request is rejected, 0 if it is not."""
+        record = self.lookup(request)
+        if record is None or record.verdict is not suspicion.Verdict.CONVICTED:
             return 0.0
-        age_s = self._clock.monotonic() - found.updated_at
+        age_s = self._clock.monotonic() - record.updated_at
         return max(0.0, suspicion.RETENTION_S - age_s)
 
     def isolate(
-        self, asked: call.Call, candidates: list[routing.Candidate]
+        self, request: call.Call, candidates: list[routing.Candidate]
     ) -> list[routing.Candidate]:
-        """Keep a suspect away from upstreams where another one is.
+        """Avoid upstreams at which another suspect is in progress.
 
-        One that was there at a single crash may go there if it must: as many
-        were beside it as an upstream has in progress.
+        A suspect of a single crash may share an upstream as a last resort,
+        as every request beside it is suspected as well.
         """
-        found = self.lookup(asked)
-        if found is None or found.verdict is not suspicion.Verdict.SUSPECTED:
+        record = self.lookup(request)
+        if record is None or record.verdict is not suspicion.Verdict.SUSPECTED:
             return candidates
-        own = digest_of(asked)
-        taken = {
-            item.name
-            for item in candidates
-            if self._suspects_at(short_hash.of(item.start)) - {own}
+        digest = digest_of(request)
+        occupied = {
+            candidate.name
+            for candidate in candidates
+            if self._suspects_at(short_hash.of(candidate.start)) - {digest}
         }
-        if found.isolated:
-            return [item for item in candidates if item.name not in taken]
+        if record.isolated:
+            return [
+                candidate
+                for candidate in candidates
+                if candidate.name not in occupied
+            ]
         return [
-            item._replace(refused=True) if item.name in taken else item
-            for item in candidates
+            candidate._replace(refused=True)
+            if candidate.name in occupied
+            else candidate
+            for candidate in candidates
         ]
 
-    def begin(self, asked: call.Call, start: announcement.Start) -> None:
-        """Note that a request is sent to a start."""
-        if self.lookup(asked) is None:
+    def begin(self, request: call.Call, start: announcement.Start) -> None:
+        """Record that a request is sent to a start."""
+        if self.lookup(request) is None:
             return
         number = short_hash.of(start.key)
-        here = self._here.setdefault(number, collections.Counter())
-        here[digest_of(asked)] += 1
-        self._on_news()
+        counter = self._local.setdefault(number, collections.Counter())
+        counter[digest_of(request)] += 1
+        self._on_update()
 
-    def end(self, asked: call.Call, start: announcement.Start) -> None:
-        """Note that a request is no longer at a start."""
+    def end(self, request: call.Call, start: announcement.Start) -> None:
+        """Record that a request is no longer in progress at a start."""
         number = short_hash.of(start.key)
-        here = self._here.get(number)
-        if here is None:
+        counter = self._local.get(number)
+        if counter is None:
             return
-        here[digest_of(asked)] -= 1
-        self._here[number] = +here
-        if not self._here[number]:
-            del self._here[number]
-
-    def record_success(self, asked: call.Call) -> None:
-        """Clear a request that an upstream has answered whole."""
-        if not self._found.by_digest:
+        counter[digest_of(request)] -= 1
+        self._local[number] = +counter
+        if not self._local[number]:
+            del self._local[number]
+
+    def record_success(self, request: call.Call) -> None:
+        """Clear a request that an upstream has answered completely."""
+        if not self._records.by_digest:
             return
         now = self._clock.monotonic()
-        if self._found.clear(digest_of(asked), now):
-            LOG.info("A suspected request has ended well.", request=asked.id)
-            self._on_news()
+        if self._records.clear(digest_of(request), now):
+            LOG.info(
+                "A suspected request was answered completely.",
+                request=request.id,
+            )
+            self._on_update()
 
     def record_lost(
         self,
-        asked: call.Call,
+        request: call.Call,
         upstream: announcement.Announcement,
         *,
         running: int,
     ) -> None:
-        """Note a request whose exchange broke; look what became of the start.
+        """Record a request whose exchange broke, and check for a crash.
 
         Args:
-          asked: The request.
-          upstream: Where it was sent, whole.
-          running: Requests that all entries had there, by what is known.
+          request: The request.
+          upstream: The announcement of the upstream it was sent to.
+          running: Requests in progress there from all entries, as far as
+            known.
         """
         start = upstream.start
         first = start not in self._losses
-        self._losses.setdefault(start, []).append(Loss(asked, running))
+        self._losses.setdefault(start, []).append(Loss(request, running))
         if first:
-            defer.ensureDeferred(self._look(upstream))
+            defer.ensureDeferred(self._check(upstream))
 
-    async def _look(self, upstream: announcement.Announcement) -> None:
-        """Find out whether a start has crashed."""
+    async def _check(self, upstream: announcement.Announcement) -> None:
+        """Check whether a start has crashed, and record it."""
         await task.deferLater(self._reactor, CRASH_CHECK_DELAY_S)
         crashed = await self._evidence.has_crashed(upstream)
         losses = self._losses.pop(upstream.start)
         if crashed:
-            self._note_crash(upstream.start, losses)
+            self._record_crash(upstream.start, losses)
 
-    def _note_crash(
+    def _record_crash(
         self, start: announcement.Start, losses: list[Loss]
     ) -> None:
         number = short_hash.of(start.key)
-        by_digest = {digest_of(loss.asked): loss for loss in losses}
-        elsewhere = self._told_at(number) - by_digest.keys()
+        by_digest = {digest_of(loss.request): loss for loss in losses}
+        remote = self._remote_at(number) - by_digest.keys()
         crash = suspicion.Crash(
             start=number,
             digests=frozenset(by_digest),
-            other_suspects=elsewhere,
+            other_suspects=remote,
             sole_request=len(by_digest) == 1 and losses[0].running <= 1,
         )
-        convicted = self._found.record_crash(crash, self._clock.monotonic())
+        convicted = self._records.record_crash(crash, self._clock.monotonic())
         LOG.warning(
             "An upstream has crashed; what ran there is suspected.",
             upstream=start.key,
-            requests=[loss.asked.id for loss in losses],
+            requests=[loss.request.id for loss in losses],
             crashes=max(
-                len(self._found.by_digest[item].crashed) for item in by_digest
+                len(self._records.by_digest[digest].crashed)
+                for digest in by_digest
             ),
-            suspects_of_others=len(elsewhere),
+            suspects_of_others=len(remote),
             alone=crash.sole_request,
         )
-        for item in convicted:
+        for digest in convicted:
             LOG.warning(
-                "A request crashes upstreams; it is sent to none.",
-                request=by_digest[item].asked.id,
-                crashed=len(self._found.by_digest[item].crashed),
+                "Rejecting a request that crashes upstreams.",
+                request=by_digest[digest].request.id,
+                crashed=len(self._records.by_digest[digest].crashed),
                 kept_s=suspicion.RETENTION_S,
             )
-        self._on_news()
+        self._on_update()
 
     def _suspects_at(self, number: int) -> set[int]:
-        here = self._here.get(number, ())
-        return self._told_at(number).union(here)
+        local = self._local.get(number, ())
+        return self._remote_at(number).union(local)
 
-    def _told_at(self, number: int) -> frozenset[int]:
-        """Return the suspects that other entries have at a start."""
-        rows = (by.get(number) for by in self._elsewhere.values())
+    def _remote_at(self, number: int) -> frozenset[int]:
+        """Return the suspects of other entries in progress at a start."""
+        rows = (by_number.get(number) for by_number in self._remote.values())
         return frozenset().union(*(row for row in rows if row))
 
     def add_to(self, message: ttypes.Usage, fraction: float) -> None:
-        """Add a part of what is known to a datagram."""
+        """Add a fraction of the records to a datagram."""
         now = self._clock.monotonic()
-        self._found.expire(now)
-        rows = list(self._found.by_digest.items())[::-1]
+        self._records.expire(now)
+        rows = list(self._records.by_digest.items())[::-1]
         running = self._running_by_digest()
-        # Those that run now matter most to who chooses an upstream.
+        # Suspects in progress first: other entries avoid their upstreams.
         rows.sort(key=lambda row: row[0] not in running)
         message.suspects = [
             ttypes.Suspect(
-                digest=item,
-                crashed=sorted(record.crashed)[:MOST_STARTS],
+                digest=digest,
+                crashed=sorted(record.crashed)[:MAX_STARTS],
                 alone=record.sole_request_crashes,
                 verdict=int(record.verdict),
-                age_ms=min(OLDEST_MS, int((now - record.updated_at) * 1000)),
-                running=running.get(item, [])[:MOST_STARTS],
+                age_ms=min(MAX_AGE_MS, int((now - record.updated_at) * 1000)),
+                running=running.get(digest, [])[:MAX_STARTS],
             )
-            for item, record in rows[: int(MOST_TOLD * fraction)]
+            for digest, record in rows[: int(MAX_REPORTED * fraction)]
         ]
 
     def _running_by_digest(self) -> dict[int, list[int]]:
-        found: dict[int, list[int]] = {}
-        for number, here in self._here.items():
-            for item in here:
-                found.setdefault(item, []).append(number)
-        return found
+        by_digest: dict[int, list[int]] = {}
+        for number, counter in self._local.items():
+            for digest in counter:
+                by_digest.setdefault(digest, []).append(number)
+        return by_digest
 
     def apply(self, message: ttypes.Usage) -> None:
-        """Take what another entry tells."""
-        rows = [row for row in message.suspects or () if _sound(row)]
+        """Apply the records and suspects reported by another entry."""
+        rows = [row for row in message.suspects or () if _is_valid(row)]
         if not rows:
-            self._elsewhere.pop(message.name, None)
+            self._remote.pop(message.name, None)
             return
         now = self._clock.monotonic()
-        at: dict[int, set[int]] = {}
+        digests_by_number: dict[int, set[int]] = {}
         for row in rows:
             record = suspicion.Record(
                 crashed=frozenset(row.crashed),
@@ -258,49 +269,54 @@
                 verdict=suspicion.Verdict(row.verdict),
                 updated_at=now - row.age_ms / 1000,
             )
-            self._learn(row.digest, record, message.name)
+            self._merge(row.digest, record, message.name)
             for number in row.running:
-                at.setdefault(number, set()).add(row.digest)
-        self._elsewhere[message.name] = {
-            number: frozenset(items) for number, items in at.items()
+                digests_by_number.setdefault(number, set()).add(row.digest)
+        self._remote[message.name] = {
+            number: frozenset(digests)
+            for number, digests in digests_by_number.items()
         }
 
-    def _learn(self, item: int, record: suspicion.Record, teller: str) -> None:
-        old = self._found.by_digest.get(item)
-        self._found.merge(item, record)
-        new = self._found.by_digest[item]
+    def _merge(
+        self, digest: int, record: suspicion.Record, reporter: str
+    ) -> None:
+        old = self._records.by_digest.get(digest)
+        self._records.merge(digest, record)
+        new = self._records.by_digest[digest]
         if old is None or old[:3] != new[:3]:
             LOG.info(
-                "Another entry tells of a request that was at crashes.",
-                digest=item,
-                teller=teller,
+                "Another entry reported a suspected request.",
+                digest=digest,
+                teller=reporter,
                 crashes=len(new.crashed),
                 verdict=new.verdict.name.lower(),
             )
 
     def forget(self, name: str) -> None:
-        """Note that another entry has gone, and what it ran with it."""
-        self._elsewhere.pop(name, None)
-
-
-def digest_of(asked: call.Call) -> int:
-    """Return what names a request at every entry."""
-    if asked.digest is None:
-        asked.digest = suspicion.digest(
-            workspace=asked.workspace.name,
-            method=asked.method,
-            path=asked.path,
-            body=asked.body,
+        """Drop the suspects in progress of an entry that was removed."""
+        self._remote.pop(name, None)
+
+
+def digest_of(request: call.Call) -> int:
+    """Return the digest that identifies a request at every entry."""
+    if request.digest is None:
+        request.digest = suspicion.digest(
+            workspace=request.workspace.name,
+            method=request.method,
+            path=request.path,
+            body=request.body,
         )
-    return asked.digest
+    return request.digest
 
 
-def _sound(row: ttypes.Suspect) -> bool:
-    """Tell whether a row of a datagram makes sense."""
+def _is_valid(row: ttypes.Suspect) -> bool:
+    """Return whether a row of a datagram is valid."""
     numbers = (row.digest, row.alone, row.verdict, row.age_ms)
     if None in (*numbers, row.crashed, row.running):
         return False
-    small = max(len(row.crashed), len(row.running)) <= MOST_STARTS
-    counts = 0 <= row.alone <= len(row.crashed)
-    age = 0 <= row.age_ms <= OLDEST_MS
-    return small and counts and age and row.verdict in VERDICTS
+    within_limits = max(len(row.crashed), len(row.running)) <= MAX_STARTS
+    valid_count = 0 <= row.alone <= len(row.crashed)
+    valid_age = 0 <= row.age_ms <= MAX_AGE_MS
+    return (
+        within_limits and valid_count and valid_age and row.verdict in VERDICTS
+    )
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/usage.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/usage.py
@@ -1,10 +1,9 @@
-"""What entries tell each other of the requests that they have in progress.
+"""Exchanges the counts of requests in progress between entries.
 
-Each entry sends its counts by upstream to all others, as datagrams: soon
-after a change, and now and then without one.  A datagram holds all counts,
-so that a lost one is made up by the next.  Together they tell how full every
-upstream is some tens of milliseconds ago, which the upstreams' own answers
-tell each entry only now and then.
+Each entry sends its counts by upstream to all others as datagrams, shortly
+after a change and periodically.  A datagram is a complete snapshot, so a lost
+one is repaired by the next.  The counts are some tens of milliseconds old,
+fresher than the loads reported in upstreams' answers.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -24,80 +23,78 @@
 from . import follower
 
 LOG = logs.Logger("usage")
-# A change is told this soon, in seconds; changes in between go together.
-# Twice the delay between halls and a tenth of the time that a request for a
-# model may wait at an entry.
-TOLD_AFTER_S = 0.02
-# With many entries each tells less often, so that what all receive grows
-# with their number and not with its square: seconds for each other entry.
-TOLD_AFTER_EACH_S = 0.006
-# Without a change an entry tells its counts this often, in seconds.
+# Delay in seconds before a change is sent, which batches further changes.
+SEND_DELAY_S = 0.02
+# Additional delay in seconds for each other entry, so that the total traffic
+# grows with the number of entries and not with its square.
+SEND_DELAY_PER_PEER_S = 0.006
+# Interval in seconds between datagrams without a change.
 SEND_INTERVAL_S = 0.5
-# An entry that was silent for this long is taken to be gone, in seconds:
-# three datagrams in a row were lost, or its process has ended.
-SILENT_S = 1.6
-# A datagram with more than this many bytes may be cut on its way.
-LARGEST = 1400
-KNOWN_TOLD = 40
-# The hosts of other entries are told this often, in seconds: they change when
-# an entry starts or ends, and with 32 entries they are half of a datagram.
-KNOWN_EVERY_S = 2.0
-# What entries tell beside their counts gets so much of its usual room in a
-# datagram, until the whole fits.
+# Seconds without a datagram after which an entry is removed: three in a row
+# were lost, or its process has ended.
+PEER_TIMEOUT_S = 1.6
+# Larger datagrams may be fragmented.
+MAX_DATAGRAM_BYTES = 1400
+MAX_HOSTS = 40
+# Interval in seconds between datagrams that include the hosts of other
+# entries, which with 32 entries fill half a datagram.
+HOSTS_INTERVAL_S = 2.0
+# Fractions of the updates beside the counts, tried until a datagram fits.
 FRACTIONS = (1.0, 0.5, 0.25, 0.0)
-# An entry that has gone still counts among those that share an upstream's
-# limit for this long, in seconds: it may live where nobody hears it.
-REMEMBERED_S = 60.0
-# No entry has more requests in progress at one upstream.
-MOST_REQUESTS = 100_000
+# Seconds for which a removed entry still counts among those that share a rate
+# limit, as it may be running behind a partition.
+SHARE_RETENTION_S = 60.0
+# Larger counts in a datagram are invalid.
+MAX_REQUESTS = 100_000
 
-# Takes an entry's address for calls and the offset that it has told.
+# Called with an entry's address for calls and its reported offset.
 OffsetListener = Callable[[str, int], None]
 
 
 @dataclasses.dataclass(kw_only=True)
 class Peer:
-    """Another entry, as its newest datagram told.
+    """Another entry, by its newest datagram.
 
     Attributes:
       name: Its name.
-      incarnation: Its start.
-      number: Number of the datagram.
+      incarnation: Its incarnation.
+      number: Sequence number of the datagram.
       counts: Requests in progress by hash of an upstream.
-      heard_at: Monotonic seconds at which it came.
-      address: Where it came from.
+      received_at: Monotonic seconds at which it was received.
+      address: Its source address.
     """
 
     name: str
     incarnation: str
     number: int
     counts: Mapping[int, int]
-    heard_at: float
+    received_at: float
     address: str
 
 
 class Updates(Protocol):
-    """What entries tell each other beside their counts."""
+    """A source of further data in the datagrams, beside the counts."""
 
     def add_to(self, message: ttypes.Usage, fraction: float) -> None:
-        """Add a part of it to a datagram, 1.0 for as much as is usual."""
+        """Add a fraction of the data to a datagram, 1.0 for the usual size."""
         ...
 
     def apply(self, message: ttypes.Usage) -> None:
-        """Take what another entry tells."""
+        """Apply a datagram of another entry."""
         ...
 
 
 class Usage(protocol.DatagramProtocol):
-    """Tells this entry's counts and keeps those of others.
+    """Sends the counts of this entry and tracks those of others.
 
     Attributes:
-      updates: What goes into the datagrams beside the counts.
-      on_gone: Hears the name of an entry that is no longer heard.
-      entries: Who shares what upstreams can take.
-      on_offset: Hears how far others are in the configuration.
-      on_roster_offset: Hears how far others are in the list of upstreams.
-      on_change: Called once the counts of others have changed.
+      updates: Sources of further data in the datagrams.
+      on_removed: Called with the name of an entry that timed out.
+      entries: The entries that share the rate limits of upstreams.
+      on_offset: Called with the configuration offset of another entry.
+      on_roster_offset: Called with another entry's offset in the list of
+        upstreams.
+      on_change: Called after the counts of others have changed.
     """
 
     noisy = False
@@ -116,25 +113,25 @@
         offset: Callable[[], int],
         roster_offset: Callable[[], int],
     ) -> None:
-        """Make it; start() begins to tell.
+        """Initialize without peers; start() opens the socket.
 
         Args:
-          reactor: The loop.
-          clock: The time.
+          reactor: The reactor.
+          clock: The clock.
           name: Name of this entry.
-          incarnation: This start of it.
+          incarnation: Its incarnation.
           address: "ip:port" for datagrams; entries share the port.
-          peers: Addresses of some other entries; their ports do not count.
-          counts: Gives this entry's requests in progress by upstream.
+          peers: Addresses of some other entries; their ports are ignored.
+          counts: Returns this entry's requests in progress by upstream.
           peer: Address for calls of other entries to this one.
-          offset: Gives the offset of the configuration in force here.
-          roster_offset: Gives where this entry reads the list of upstreams
-            on, 0 while it has none.
+          offset: Returns the offset of the configuration in force here.
+          roster_offset: Returns the offset from which this entry continues
+            to read the list of upstreams, 0 while it has none.
         """
         self.on_offset: OffsetListener = _ignore
         self.on_roster_offset: OffsetListener = _ignore
         self.on_change: Callable[[], None] = lambda: None
-        self.on_gone: Callable[[str], None] = _ignore_name
+        self.on_removed: Callable[[str], None] = _ignore_name
         self.updates: tuple[Updates, ...] = ()
         self._reactor = reactor
         self._clock = clock
@@ -144,166 +141,177 @@
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
         hosts = {peer.rpartition(":")[0] for peer in peers}
-        self._told_first = sorted(hosts - {self._host})
+        self._seed_hosts = sorted(hosts - {self._host})
         self._counts = counts
         self._peer = peer
         self._offset = offset
         self._roster_offset = roster_offset
         self._peers: dict[str, Peer] = {}
-        self._heard_at_by_name: dict[str, float] = {}
+        self._received_at_by_name: dict[str, float] = {}
         self.entries = rate_limit.Entries(name, frozenset((name,)), 1)
         self._totals: dict[int, int] = {}
         self._number = 0
-        self._known_told_at = float("-inf")
+        self._hosts_sent_at = float("-inf")
         self._due: Any = None
         self._loop = follower.Timer(
-            reactor=reactor, clock=clock, name="usage", function=self._tell
+            reactor=reactor,
+            clock=clock,
+            name="usage",
+            function=self._broadcast,
         )
 
     def start(self) -> None:
-        """Listen, and tell the counts from now on."""
+        """Open the socket and start sending the counts."""
         self._reactor.listenUDP(self._port, self, interface=self._host)
         self._loop.start(SEND_INTERVAL_S)
 
     def stop(self) -> None:
-        """Tell nothing more; others notice by the silence."""
+        """Stop sending; other entries remove this one by its time-out."""
         self._loop.stop()
         if self._due is not None and self._due.active():
             self._due.cancel()
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the telling gets on."""
+        """Return the progress of the sending loop."""
         return self._loop.progress
 
     @property
     def place(self) -> int:
-        """Return the place of this entry among those that live, by name."""
+        """Return the position of this entry among the live ones, by name."""
         return sum(name < self._name for name in self._peers)
 
     def others(self, upstream: str) -> int:
-        """Return the requests that other entries have at an upstream."""
+        """Return the requests of other entries in progress at an upstream."""
         return self._totals.get(short_hash.of(upstream), 0)
 
     def changed(self) -> None:
-        """Tell the counts soon."""
+        """Schedule sending the counts."""
         if self._due is not None and self._due.active():
             return
-        after_s = TOLD_AFTER_S + TOLD_AFTER_EACH_S * len(self._peers)
-        self._due = self._reactor.callLater(after_s, self._tell)
+        after_s = SEND_DELAY_S + SEND_DELAY_PER_PEER_S * len(self._peers)
+        self._due = self._reactor.callLater(after_s, self._broadcast)
 
     def datagramReceived(  # noqa: N802
         self, data: bytes, address: tuple[str, int]
     ) -> None:
-        """Take what another entry tells."""
-        told = datagram.decode(data, ttypes.Usage)
-        if told is None or not _whole(told) or told.name == self._name:
+        """Apply a datagram of another entry."""
+        message = datagram.decode(data, ttypes.Usage)
+        if (
+            message is None
+            or not _is_valid(message)
+            or message.name == self._name
+        ):
             return
-        old = self._peers.get(told.name)
-        if old is not None and old.incarnation == told.incarnation:
-            if told.number <= old.number:
+        old = self._peers.get(message.name)
+        if old is not None and old.incarnation == message.incarnation:
+            if message.number <= old.number:
                 return
         if old is None:
-            LOG.info("An entry is known.", name=told.name, address=address[0])
-        self._peers[told.name] = Peer(
-            name=told.name,
-            incarnation=told.incarnation,
-            number=told.number,
-            counts=told.counts,
-            heard_at=self._clock.monotonic(),
+            LOG.info(
+                "Discovered an entry.", name=message.name, address=address[0]
+            )
+        self._peers[message.name] = Peer(
+            name=message.name,
+            incarnation=message.incarnation,
+            number=message.number,
+            counts=message.counts,
+            received_at=self._clock.monotonic(),
             address=address[0],
         )
-        self._heard_at_by_name[told.name] = self._clock.monotonic()
-        self._count_entries()
+        self._received_at_by_name[message.name] = self._clock.monotonic()
+        self._update_entries()
         for item in self.updates:
-            item.apply(told)
-        self.on_offset(told.peer, told.offset)
-        self.on_roster_offset(told.peer, told.roster_offset)
-        self._learn(told.known)
+            item.apply(message)
+        self.on_offset(message.peer, message.offset)
+        self.on_roster_offset(message.peer, message.roster_offset)
+        self._greet(message.known)
         self._sum_up()
 
-    def _learn(self, hosts: Iterable[str]) -> None:
-        """Tell entries that others know of, too."""
+    def _greet(self, hosts: Iterable[str]) -> None:
+        """Send the counts to entries that are known only to others."""
         known = {peer.address for peer in self._peers.values()}
-        new = set(hosts) - known - {self._host} - set(self._told_first)
+        new = set(hosts) - known - {self._host} - set(self._seed_hosts)
         for host in sorted(new):
             self._send(host, self._message())
 
-    def _tell(self) -> None:
-        """Send the counts to all that are known."""
-        self._forget_silent()
+    def _broadcast(self) -> None:
+        """Send the counts to all known entries."""
+        self._remove_unresponsive()
         data = self._message()
         hosts = {peer.address for peer in self._peers.values()}
-        for host in hosts.union(self._told_first):
+        for host in hosts.union(self._seed_hosts):
             self._send(host, data)
 
     def _message(self) -> bytes:
-        """Return the datagram, with as much news as fits."""
+        """Return the datagram, with as many updates as fit."""
         self._number += 1
-        told = self._counts_told()
+        message = self._counts_message()
         for fraction in FRACTIONS:
             for item in self.updates:
-                item.add_to(told, fraction)
-            data = datagram.encode(told)
-            if len(data) <= LARGEST:
+                item.add_to(message, fraction)
+            data = datagram.encode(message)
+            if len(data) <= MAX_DATAGRAM_BYTES:
                 break
         return data
 
-    def _counts_told(self) -> ttypes.Usage:
+    def _counts_message(self) -> ttypes.Usage:
         counts = {short_hash.of(k): n for k, n in self._counts().items() if n}
         return ttypes.Usage(
             name=self._name,
             incarnation=self._incarnation,
             number=self._number,
             counts=counts,
-            known=self._known_told(),
+            known=self._hosts_to_send(),
             offset=self._offset(),
             peer=self._peer,
             roster_offset=self._roster_offset(),
         )
 
-    def _known_told(self) -> list[str]:
-        """Return the hosts to tell in this datagram, as a rule none."""
+    def _hosts_to_send(self) -> list[str]:
+        """Return the hosts to include in this datagram, usually none."""
         now = self._clock.monotonic()
-        if now - self._known_told_at < KNOWN_EVERY_S:
+        if now - self._hosts_sent_at < HOSTS_INTERVAL_S:
             return []
-        self._known_told_at = now
+        self._hosts_sent_at = now
         known = sorted({peer.address for peer in self._peers.values()})
-        return known[:KNOWN_TOLD]
+        return known[:MAX_HOSTS]
 
     def _send(self, host: str, data: bytes) -> None:
-        if self.transport is None or len(data) > LARGEST:
+        if self.transport is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
             self.transport.write(data, (host, self._port))
-        except OSError as failed:
-            # The next datagram makes up for it; a cut shows as silence.
-            LOG.warning("Cannot tell.", host=host, reason=repr(failed))
+        except OSError as failure:
+            # The next datagram repairs it; partitions show as time-outs.
+            LOG.warning(
+                "Failed to send counts.", host=host, reason=repr(failure)
+            )
 
-    def _forget_silent(self) -> None:
+    def _remove_unresponsive(self) -> None:
         now = self._clock.monotonic()
         for peer in list(self._peers.values()):
-            if now - peer.heard_at > SILENT_S:
+            if now - peer.received_at > PEER_TIMEOUT_S:
                 del self._peers[peer.name]
-                self.on_gone(peer.name)
+                self.on_removed(peer.name)
                 LOG.info(
-                    "An entry is silent; its requests no longer count.",
+                    "Removed an unresponsive entry and its request counts.",
                     name=peer.name,
                     requests=sum(peer.counts.values()),
                 )
                 self._sum_up()
-        self._count_entries()
+        self._update_entries()
 
-    def _count_entries(self) -> None:
-        """Note who is heard, and how many were known lately."""
+    def _update_entries(self) -> None:
+        """Update the reachable entries and the number known recently."""
         now = self._clock.monotonic()
-        for name, heard_at in list(self._heard_at_by_name.items()):
-            if now - heard_at > REMEMBERED_S:
-                del self._heard_at_by_name[name]
-        heard = frozenset((self._name, *self._peers))
-        known = 1 + max(len(self._heard_at_by_name), len(self._told_first))
-        if (heard, known) != self.entries[1:]:
-            self.entries = rate_limit.Entries(self._name, heard, known)
+        for name, received_at in list(self._received_at_by_name.items()):
+            if now - received_at > SHARE_RETENTION_S:
+                del self._received_at_by_name[name]
+        reachable = frozenset((self._name, *self._peers))
+        known = 1 + max(len(self._received_at_by_name), len(self._seed_hosts))
+        if (reachable, known) != self.entries[1:]:
+            self.entries = rate_limit.Entries(self._name, reachable, known)
 
     def _sum_up(self) -> None:
         totals: dict[int, int] = {}
@@ -315,19 +323,29 @@
 
 
 def _ignore(_peer: str, _offset: int) -> None:
-    """Hear an offset and do nothing, until somebody listens."""
+    """Ignore an offset until a listener is set."""
 
 
 def _ignore_name(_name: str) -> None:
-    """Hear a name and do nothing, until somebody listens."""
-
-
-def _whole(told: ttypes.Usage) -> bool:
-    """Tell whether a datagram holds all that it should, and makes sense."""
-    fields = (told.name, told.incarnation, told.number, told.counts)
-    more = (told.known, told.offset, told.peer, told.roster_offset)
-    if None in (*fields, *more):
+    """Ignore a name until a listener is set."""
+
+
+def _is_valid(message: ttypes.Usage) -> bool:
+    """Return whether a datagram is complete and valid."""
+    counts_fields = (
+        message.name,
+        message.incarnation,
+        message.number,
+        message.counts,
+    )
+    other_fields = (
+        message.known,
+        message.offset,
+        message.peer,
+        message.roster_offset,
+    )
+    if None in (*counts_fields, *other_fields):
         return False
-    hosts = all(addresses.is_host(host) for host in told.known)
-    counts = all(0 <= n <= MOST_REQUESTS for n in told.counts.values())
-    return hosts and counts and addresses.is_address(told.peer)
+    valid_hosts = all(addresses.is_host(host) for host in message.known)
+    valid_counts = all(0 <= n <= MAX_REQUESTS for n in message.counts.values())
+    return valid_hosts and valid_counts and addresses.is_address(message.peer)
--- a/packages/reelscale-daemon/src/reelscale_daemon/front.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/front.py
@@ -187,7 +187,7 @@
         self._base.config.listen(self._directory.apply_config)
         self._parts.on_local_change = self._usage.changed
         self._usage.on_change = self._parts.pump
-        self._usage.on_gone = self._suspects.forget
+        self._usage.on_removed = self._suspects.forget
         self._usage.updates = (self._directory.rate_limits, self._suspects)
         self._usage.on_offset = self._base.config.record_peer_offset
         self._usage.on_roster_offset = self._directory.on_peer_offset
