--- a/packages/reelscale-daemon/src/reelscale_daemon/exchange/pool.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/exchange/pool.py
@@ -49,11 +49,11 @@
         Raises:
           ExchangeError: "unreachable"; the peer received nothing.
         """
-        kept = self._pop_idle(address, max_idle_s)
-        if kept is not None:
+        conn = self._pop_idle(address, max_idle_s)
+        if conn is not None:
             watch = max_idle_s is None if watched is None else watched
-            kept.watched = watch and not self._monitor.cooling_down
-            return kept
+            conn.watched = watch and not self._monitor.cooling_down
+            return conn
         return await self._open(address, connect_timeout_s)
 
     def release(self, conn: connection.Connection) -> None:
@@ -76,12 +76,12 @@
             item.abort()
         return len(idle)
 
-    def close_unresponsive(self, silent: connection.Connection) -> None:
+    def close_unresponsive(self, dead: connection.Connection) -> None:
         """Close the idle connections to the peer of a dead connection.
 
         Connections that received data after its exchange began are kept.
         """
-        self._close_idle_since(silent.address, silent.started_at)
+        self._close_idle_since(dead.address, dead.started_at)
 
     def _close_all_idle_since(self, since: float) -> None:
         """Close all connections that have been idle since a time.
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/direct_answer.py
@@ -129,7 +129,7 @@
 
 
 def _answers_request(active: ActiveAttempt, head: base.AnswerHead) -> bool:
-    """Return whether an answer is to this request; refusals may omit it."""
+    """Return whether an answer has the request id; a refusal may lack it."""
     unnamed = head.not_run and not head.request_id
     return unnamed or head.request_id == active.request.id
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/writer.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/writer.py
@@ -125,8 +125,8 @@
     @property
     def resumable(self) -> bool:
         """Whether the route allows streams to resume at another upstream."""
-        found = self._request.route
-        return found is not None and found.resumable
+        route = self._request.route
+        return route is not None and route.resumable
 
     def begin(
         self,
