--- a/features/layouts_under_shift.feature
+++ b/features/layouts_under_shift.feature
@@ -1,31 +1,31 @@
-Feature: Layouts follow a demand that shifts every few seconds
+Feature: Layouts follow demand that shifts every few seconds
 
-  Scenario: Short changes leave a group less time on a layout that does not fit
-    When 5 groups whose demand shifts each 4 s load as much as pays in a change
-    And 5 such groups load no longer than half a second in a change
-    Then the second are a quarter less of the time at a skew above 1.8
+  Scenario: Short changes reduce the time that a group spends at a high skew
+    When the demand of 5 groups shifts every 4 s and the loads per change are not limited
+    And the loads per change of 5 such groups are limited to half a second
+    Then the limit reduces the time at a skew above 1.8 by a quarter
 
-  Scenario: A change spends its loads where they lower a pass most
+  Scenario: A change loads the experts that shorten a pass most
     When one set of layers is skewed and another is not, and a rank may load one expert
-    Then what is loaded belongs to the first
+    Then the expert is loaded for the skewed set
 
-  Scenario: What a change may load follows from what the engine says
+  Scenario: The loads per change follow from the load time of the engine
     Then ranks that take 0.4 s for an expert load 1 in a change
     And ranks that take 0.04 s for an expert load 12 in a change
     And ranks that take 3 s for an expert load 1 in a change
-    And ranks whose engine does not say it load as many as they may
+    And ranks without a known load time load without a limit
 
-  Scenario: A group that was away is known to want what it wanted before
-    When a group is asked for its first expert, is away for 10 s, and forms anew
-    Then its demand is still that of before
-    When it is asked for its second expert for 3 s
-    Then its demand is for the second alone
+  Scenario: The demand of a group is kept while it is unavailable
+    When a group has demand for its first expert, is unavailable for 10 s, and forms anew
+    Then its demand is unchanged
+    When it has demand for its second expert for 3 s
+    Then its demand is for the second expert only
 
-  Scenario: A change that is held further ahead keeps one layout a step
+  Scenario: Changes that are held further ahead keep one layout per step
     When 900 seeded traces run in which changes are held 2 to 8 steps ahead
     Then no step of them began on two layouts
 
-  Scenario Outline: A change is held as far ahead as arming all ranks takes
+  Scenario Outline: The margin of a change covers the time to arm all ranks
     When steps take <step> s and arming all ranks took <arming> s
     Then the next change is held <steps> steps ahead
 
--- a/features/memory.feature
+++ b/features/memory.feature
@@ -1,11 +1,11 @@
-Feature: A caller who reads nothing costs bounded memory
+Feature: A caller that does not read uses bounded memory
 
-  Scenario: Callers who read nothing hold the engine back
+  Scenario: Callers that do not read pause the engine
     Given a cluster of its own with a fast engine
-    When 6 callers ask for 900000 events each and read nothing for 8 s
-    Then entry and agent have each grown by less than 1000 KB a caller
-    And the engine was held back long before its last event
-    And the callers who then read get every event
+    When 6 callers request 900000 events each and do not read for 8 s
+    Then the memory of entry and agent has grown by less than 1000 KB per caller
+    And the engine was paused long before its last event
+    And a caller that then reads gets every event
 
   Scenario: A stopping entry ends after the last byte of its answers has left
     Given a cluster of its own with a fast engine
--- a/features/models/configlog.py
+++ b/features/models/configlog.py
@@ -1,7 +1,7 @@
-"""Operators that race, and readers of the log that start late.
+"""Model of racing operators and of readers that start from a snapshot.
 
-The fold is compared with a naive reader that keeps the whole log and goes
-through it from the start for every question.
+Guards against readers whose folded states differ: the fold is compared with a
+naive reader that replays the complete log.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -15,9 +15,8 @@
 
 NAMES = ("w0", "w1", "w2")
 
-
-# What a fault elsewhere, or a newer writer, may put into the log.
-GARBAGE = (
+# Invalid records, as of a faulty or newer writer.
+INVALID_RECORDS = (
     None,
     7,
     "x",
@@ -47,12 +46,12 @@
 )
 
 
-class DiffersError(AssertionError):
-    """Two readers, or a reader and the naive one, disagree."""
+class StateMismatchError(AssertionError):
+    """Two readers, or a reader and the naive one, have different states."""
 
 
 class World:
-    """A log, operators who read it at any lag, and readers."""
+    """A log, its lagging readers and the operators."""
 
     def __init__(self) -> None:
         self.log: list[Any] = []
@@ -62,56 +61,56 @@
         self.accepted: dict[str, int] = {}
 
     def act(self, chooser: Chooser) -> None:
-        """Let one thing happen."""
+        """Carry out one random action."""
         actions = [
             *[self.plan] * 4,
             *[self.confirm] * 5,
             *[self.read] * 5,
             self.repeat,
-            self.garbage,
+            self.append_invalid,
             self.claim,
             self.write_snapshot,
-            self.start_late,
-            self.offer_old,
+            self.start_from_snapshot,
+            self.fold_again,
         ]
         chooser.pick(actions)(chooser)
 
     def plan(self, chooser: Chooser) -> None:
-        """Let an operator plan on a reader's state, perhaps an old one."""
+        """Append a plan based on a reader's state, which may be outdated."""
         base = chooser.pick(self.readers)
         name = chooser.pick(NAMES)
-        known = name in base.workspaces_by_name
+        exists = name in base.workspaces_by_name
         weight = float(len(self.plans) + 1)
         put = model.Workspace(
             name=name, key_digests=("0" * 64,), weight=weight
         )
         item: change.Change = change.PutWorkspace(workspace=put)
-        if known and chooser.pick([False, False, True]):
+        if exists and chooser.pick([False, False, True]):
             item = change.Remove(kind="workspace", name=name)
-        made = record.PlanRecord(
+        plan = record.PlanRecord(
             id=f"p{len(self.plans)}", base=base.offset, changes=(item,)
         )
-        self.plans.append(made)
-        self.log.append(record.to_json(made))
+        self.plans.append(plan)
+        self.log.append(record.to_json(plan))
 
     def confirm(self, chooser: Chooser) -> None:
-        """Let an operator confirm any plan, perhaps for the second time."""
+        """Append a confirmation of any plan, which may be a repeat."""
         if self.plans:
             plan = chooser.pick(self.plans)
             item = record.ConfirmRecord(plan=plan.id)
             self.log.append(record.to_json(item))
 
     def repeat(self, chooser: Chooser) -> None:
-        """Append a record again, as after an answer that was lost."""
+        """Append a record again, as after a lost answer."""
         if self.log:
             self.log.append(chooser.pick(self.log))
 
-    def garbage(self, chooser: Chooser) -> None:
-        """Append what is no record of ours."""
-        self.log.append(chooser.pick(GARBAGE))
+    def append_invalid(self, chooser: Chooser) -> None:
+        """Append an invalid record."""
+        self.log.append(chooser.pick(INVALID_RECORDS))
 
     def claim(self, chooser: Chooser) -> None:
-        """Claim a lease on an old or the newest view."""
+        """Append a claim of a lease by a reader's state."""
         held = chooser.pick(self.readers).leases_by_name.get("group/g")
         item = record.LeaseRecord(
             id=f"c{len(self.log)}",
@@ -123,7 +122,7 @@
         self.log.append(record.to_json(item))
 
     def read(self, chooser: Chooser) -> None:
-        """Let a reader read some records on."""
+        """Fold the next records at a reader."""
         number = chooser.pick(range(len(self.readers)))
         old = self.readers[number]
         start = old.offset + 1
@@ -131,61 +130,64 @@
         count = chooser.pick([1, 2, 5, 1000])
         new = fold.fold(old, rows[:count])
         if new.offset < old.offset:
-            raise DiffersError("an offset went down")
+            raise StateMismatchError("an offset decreased")
         self.readers[number] = new
 
     def write_snapshot(self, chooser: Chooser) -> None:
-        """Let a reader write its state into the log, in small parts."""
+        """Write a reader's state into the log as a snapshot in parts."""
         reader = chooser.pick(self.readers)
         if reader.offset >= 0:
             self.log += snapshot.split(reader, chars=400)
 
-    def start_late(self, chooser: Chooser) -> None:
-        """Start a reader from a snapshot, the log before it being gone."""
-        whole = snapshot.newest(enumerate(self.log))
-        if whole is None:
+    def start_from_snapshot(self, chooser: Chooser) -> None:
+        """Start a reader from a snapshot, without the log before it."""
+        base = snapshot.newest(enumerate(self.log))
+        if base is None:
             return
         rows = [
             (offset, data)
             for offset, data in enumerate(self.log)
-            if offset > whole.offset
+            if offset > base.offset
         ]
-        late = fold.fold(whole, rows)
+        late = fold.fold(base, rows)
         early = fold.fold(state.State(), enumerate(self.log))
         if state.dump(late) != state.dump(early):
-            raise DiffersError("a late reader folded another state")
+            raise StateMismatchError(
+                "a reader from a snapshot has another state"
+            )
         self.readers[0] = max(self.readers[0], late, key=_offset)
 
-    def offer_old(self, chooser: Chooser) -> None:
-        """Fold records that a reader has had; nothing may change."""
+    def fold_again(self, chooser: Chooser) -> None:
+        """Fold records again; the state must not change."""
         reader = chooser.pick(self.readers)
         rows = list(enumerate(self.log))[: reader.offset + 1]
         if fold.fold(reader, rows) != reader:
-            raise DiffersError("old records changed a state")
+            raise StateMismatchError(
+                "records that were folded before changed a state"
+            )
 
     def check(self) -> None:
-        """Compare every verdict and object with the naive reader."""
-        whole = fold.fold(state.State(), enumerate(self.log))
+        """Compare all verdicts and objects with the naive reader."""
+        reader = fold.fold(state.State(), enumerate(self.log))
         weights, verdicts = naive(self.log)
-        found = {
+        folded = {
             name: item.weight
-            for name, item in whole.workspaces_by_name.items()
+            for name, item in reader.workspaces_by_name.items()
         }
-        if found != weights:
-            raise DiffersError(f"objects {found}, naive {weights}")
-        judged = {
+        if folded != weights:
+            raise StateMismatchError(f"weights {folded}, naive {weights}")
+        accepted = {
             key: verdict.accepted
-            for key, verdict in whole.verdicts_by_id.items()
+            for key, verdict in reader.verdicts_by_id.items()
         }
-        if judged != verdicts:
-            raise DiffersError(f"verdicts {judged}, naive {verdicts}")
+        if accepted != verdicts:
+            raise StateMismatchError(f"verdicts {accepted}, naive {verdicts}")
 
 
 def naive(log: list[Any]) -> tuple[dict[str, float], dict[str, bool]]:
-    """Go through a log in the plainest way.
+    """Return the weights by workspace and the acceptance by plan id.
 
-    Returns:
-      Weight by workspace, and by plan id whether it was accepted.
+    A naive fold of the complete log.
     """
     plans: dict[str, dict] = {}
     verdicts: dict[str, bool] = {}
--- a/features/models/relayout.py
+++ b/features/models/relayout.py
@@ -1,8 +1,9 @@
-"""Ranks that change layouts by themselves, holders, and late orders.
+"""Model of a group whose ranks change layouts, its holders and their orders.
 
-An order may be lost, lose its answer, or be carried out long after it was
-given; a holder may be overtaken and go on, or fall silent together with its
-rank; a rank may restart, and the group forms anew.
+Guards against a step on two layouts.  An order may be lost, lose its answer or
+be carried out late; a holder may be superseded and continue, or stop
+responding together with its rank; a rank may restart, and the group forms
+anew.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -18,39 +19,38 @@
 from .chooser import Chooser
 from .relayout_engine import Engine, Sent
 
-# Versions of one holder lie so many apart from those of the next.
-VERSIONS_A_FENCE = 1000
-# Versions of one holder from which on it wants no further layout.
-MOST_WANTED = 4
-# Once faults cease, a step takes as long as so many events of a holder.
-TURNS_A_STEP = 12
-# Turns within which one holder brings a group without faults to its end.
-TURNS_TO_SETTLE = 400
+# Distance of the versions of one holder from those of the next.
+VERSIONS_PER_FENCE = 1000
+# Versions after which a holder requests no further layout.
+MAX_VERSIONS = 4
+# Actions of a holder per step, without faults.
+ACTIONS_PER_STEP = 12
+# Actions within which a holder completes a change without faults.
+ACTIONS_TO_SETTLE = 400
 OUTCOMES = ranks.Outcome
 RULES = relayout_rules.RULES
 
 
 @dataclasses.dataclass(kw_only=True)
 class Holder:
-    """One that holds the lease, or once did.
+    """A current or previous holder of the lease.
 
     Attributes:
-      view: What it knows of the ranks, while it gives orders by it.
-      asking: What it has heard of them since it asks all.
-      asked: Those that it has asked since then.
-      without: The rank that is missing while it fences the others, with
-        the epoch.
-      fenced_without: The same once they have refused earlier holders.
-      pending: Orders whose outcome it does not know yet.
-      unsure: Whether an order's answer was lost.
-      fenced: Epoch in which all ranks refuse earlier holders.
+      view: Reports of the ranks that its orders are based on.
+      reports: Reports received in the current round of queries.
+      queried: Ranks queried in the current round.
+      without: The missing rank, with the epoch, while it fences the others.
+      fenced_without: The same once the others are fenced.
+      pending: Orders without an outcome yet.
+      unsure: Whether the answer to an order was lost.
+      fenced: Epoch in which all ranks are fenced.
     """
 
     fence: int
-    own: str
+    local: str
     view: dict[str, ranks.Rank] | None = None
-    asking: dict[str, ranks.Rank] = dataclasses.field(default_factory=dict)
-    asked: list[str] = dataclasses.field(default_factory=list)
+    reports: dict[str, ranks.Rank] = dataclasses.field(default_factory=dict)
+    queried: list[str] = dataclasses.field(default_factory=list)
     without: tuple[int, int] | None = None
     fenced_without: tuple[int, int] | None = None
     pending: list[Sent] = dataclasses.field(default_factory=list)
@@ -58,12 +58,12 @@
     fencing: bool = False
     fenced: int | None = None
     stopped: bool = False
-    wanted: relayout.DesiredLayout | None = None
+    desired: relayout.DesiredLayout | None = None
     versions: int = 0
 
 
 class World:
-    """The group, its holders and the orders on their way."""
+    """The group, its holders and the orders in flight."""
 
     def __init__(self, *, ranks: int, given: relayout_rules.Rules) -> None:
         self.rules = given
@@ -76,7 +76,7 @@
         self.add_holder(Chooser([]))
 
     def act(self, chooser: Chooser) -> None:
-        """Let one thing happen."""
+        """Carry out one random action."""
         actions = [
             *[self.work] * 70,
             *[self.begin_step] * 4,
@@ -87,8 +87,6 @@
         ]
         chooser.pick(actions)(chooser)
 
-    # The engine.
-
     def begin_step(self, _: Chooser) -> None:
         """Begin the group's next step, unless a rank holds it."""
         self.engine.begin_step()
@@ -98,78 +96,76 @@
         self.engine.restart(chooser.pick(self.names))
 
     def carry_out_late(self, chooser: Chooser) -> None:
-        """Carry an order out whose answer its sender no longer awaits."""
+        """Carry out an order that its sender has timed out."""
         if self.late:
             sent = chooser.pick(self.late)
             self.late.remove(sent)
-            self.engine.obey(sent)
+            self.engine.carry_out(sent)
 
     def freeze(self, chooser: Chooser) -> None:
-        """Freeze a box, the rank on it included, or wake it.
+        """Freeze the network of a box and its rank, or restore it.
 
-        The rank steps on with the others, but nothing reaches it.
+        The rank continues to step with the others, but cannot be reached.
         """
         if self.frozen is not None:
             self.frozen = None
             return
-        owns = [holder.own for holder in self.holders[-2:]]
-        self.frozen = chooser.pick(owns)
-
-    # The holders.
+        local_ranks = [holder.local for holder in self.holders[-2:]]
+        self.frozen = chooser.pick(local_ranks)
 
     def add_holder(self, chooser: Chooser) -> None:
-        """Let another take the lease; the others may not know."""
-        own = chooser.pick(self.names)
+        """Add a holder; earlier ones may not know that they are superseded."""
+        local = chooser.pick(self.names)
         fence = len(self.holders) + 1
-        self.holders.append(Holder(fence=fence, own=own))
+        self.holders.append(Holder(fence=fence, local=local))
 
     def work(self, chooser: Chooser) -> None:
-        """Let a holder, perhaps one that was overtaken, go on."""
+        """Let a holder, which may be superseded, take its next action."""
         newest = self.holders[-1]
         holder = chooser.pick([newest, newest, newest, *self.holders[-3:]])
-        if holder.stopped or holder.own == self.frozen:
+        if holder.stopped or holder.local == self.frozen:
             return
         if holder.pending:
             self._resolve(holder, chooser)
         elif holder.view is None:
-            self._ask(holder, chooser)
+            self._query(holder, chooser)
         else:
-            self._give_orders(holder)
+            self._send_next_orders(holder)
 
-    def _ask(self, holder: Holder, chooser: Chooser) -> None:
-        """Hear one rank; with the last, know the group."""
-        missing = [name for name in self.names if name not in holder.asked]
+    def _query(self, holder: Holder, chooser: Chooser) -> None:
+        """Query one rank; after the last one, act on the reports."""
+        missing = [name for name in self.names if name not in holder.queried]
         name = chooser.pick(missing)
-        holder.asked.append(name)
+        holder.queried.append(name)
         if name != self.frozen:
-            holder.asking[name] = self.engine.report(name)
+            holder.reports[name] = self.engine.report(name)
         if len(missing) > 1:
             return
-        heard, holder.asking, holder.asked = holder.asking, {}, []
-        if not relayout.is_complete(heard):
-            holder.wanted = None
-            self._go_on_without(holder, heard)
+        reports, holder.reports, holder.queried = holder.reports, {}, []
+        if not relayout.is_complete(reports):
+            holder.desired = None
+            self._release_without(holder, reports)
             return
         holder.fenced_without = None
-        epoch = heard[self.names[0]].epoch
+        epoch = reports[self.names[0]].epoch
         if self.rules.fences and holder.fenced != epoch:
-            holder.wanted = None
+            holder.desired = None
             holder.fencing = True
             order = ranks.Fence(self._next_version(holder))
             self._send(holder, dict.fromkeys(self.names, order), epoch)
             return
-        holder.view = heard
-        rests = not any(r.armed or r.held is not None for r in heard.values())
-        if holder.wanted is None and rests and holder.versions < MOST_WANTED:
+        holder.view = reports
+        idle = not any(r.armed or r.held is not None for r in reports.values())
+        if holder.desired is None and idle and holder.versions < MAX_VERSIONS:
             version = self._next_version(holder)
-            holder.wanted = relayout.DesiredLayout(version, ())
+            holder.desired = relayout.DesiredLayout(version, ())
 
-    def _go_on_without(
-        self, holder: Holder, heard: dict[str, ranks.Rank]
+    def _release_without(
+        self, holder: Holder, reports: dict[str, ranks.Rank]
     ) -> None:
-        """Let the group go on where a holder fell silent with its rank."""
-        held = [item for item in heard.values() if item.held is not None]
-        missing = relayout.missing_number(heard)
+        """Release a group whose holder stopped responding with its rank."""
+        held = [item for item in reports.values() if item.held is not None]
+        missing = relayout.missing_number(reports)
         if not held or missing is None:
             holder.fenced_without = None
             return
@@ -179,28 +175,28 @@
             holder.fencing = True
             holder.without = (missing, epoch)
             order = ranks.Fence(self._next_version(holder))
-            self._send(holder, dict.fromkeys(heard, order), epoch)
+            self._send(holder, dict.fromkeys(reports, order), epoch)
             return
-        orders = self.rules.plan_without(heard, missing)
-        holder.view = heard if orders else None
+        orders = self.rules.plan_without(reports, missing)
+        holder.view = reports if orders else None
         self._send(holder, orders, epoch)
         holder.unsure = True
 
     def _next_version(self, holder: Holder) -> int:
         holder.versions += 1
-        return holder.fence * VERSIONS_A_FENCE + holder.versions
+        return holder.fence * VERSIONS_PER_FENCE + holder.versions
 
-    def _give_orders(self, holder: Holder) -> None:
-        """Plan by what is known; without orders, look again."""
+    def _send_next_orders(self, holder: Holder) -> None:
+        """Send the next orders; without any, query the ranks again."""
         view = holder.view
-        orders = self.rules.plan(view, holder.wanted, holder.own)
+        orders = self.rules.plan(view, holder.desired, holder.local)
         if not orders:
             holder.view = None
-            wanted = holder.wanted
-            if wanted and all(
-                r.version == wanted.version for r in view.values()
+            desired = holder.desired
+            if desired and all(
+                r.version == desired.version for r in view.values()
             ):
-                holder.wanted = None
+                holder.desired = None
             return
         self._send(holder, orders, view[self.names[0]].epoch)
 
@@ -214,37 +210,39 @@
         ]
 
     def _resolve(self, holder: Holder, chooser: Chooser) -> None:
-        """Let one pending order arrive, late or now, answered or not."""
+        """Deliver one pending order now or late, answered or not."""
         sent = chooser.pick(holder.pending)
         holder.pending.remove(sent)
-        fate = chooser.pick(["answered"] * 7 + ["no answer", "late", "lost"])
+        delivery = chooser.pick(
+            ["answered"] * 7 + ["no answer", "late", "lost"]
+        )
         outcome = OUTCOMES.UNKNOWN
         if sent.name == self.frozen:
-            fate = "lost"
-        if fate == "answered":
-            outcome = self.engine.obey(sent)
-        elif fate == "no answer":
-            self.engine.obey(sent)
-        elif fate == "late":
+            delivery = "lost"
+        if delivery == "answered":
+            outcome = self.engine.carry_out(sent)
+        elif delivery == "no answer":
+            self.engine.carry_out(sent)
+        elif delivery == "late":
             self.late.append(sent)
         if outcome == OUTCOMES.FENCED:
             holder.stopped = True
             return
         holder.unsure |= outcome == OUTCOMES.UNKNOWN
         if holder.fencing:
-            # One that does not take it may know an earlier holder's orders.
+            # A rank that refuses may still obey an earlier holder.
             holder.unsure |= outcome != OUTCOMES.TAKEN
         elif outcome != OUTCOMES.UNKNOWN:
             holder.view[sent.name] = self.engine.report(sent.name)
         if isinstance(sent.order, ranks.Prepare):
             if outcome == OUTCOMES.REFUSED:
-                holder.wanted = None
+                holder.desired = None
             holder.unsure = True
         if not holder.pending:
-            self._note_round(holder, sent.epoch)
+            self._end_round(holder, sent.epoch)
 
-    def _note_round(self, holder: Holder, epoch: int) -> None:
-        """Take the outcomes of a whole round in."""
+    def _end_round(self, holder: Holder, epoch: int) -> None:
+        """Apply the outcomes of a round of orders."""
         if holder.fencing:
             holder.fencing = False
             if holder.without is None:
@@ -257,15 +255,15 @@
             holder.view = None
 
     def settle(self) -> bool:
-        """Let one new holder work without faults; tell if all agree."""
-        none = Chooser([])
+        """Run a new holder without faults; return whether all ranks agree."""
+        no_choice = Chooser([])
         self.late.clear()
         self.frozen = None
-        self.add_holder(none)
+        self.add_holder(no_choice)
         self.holders = self.holders[-1:]
-        for turn in range(TURNS_TO_SETTLE):
-            self.work(none)
-            if turn % TURNS_A_STEP == 0:
+        for number in range(ACTIONS_TO_SETTLE):
+            self.work(no_choice)
+            if number % ACTIONS_PER_STEP == 0:
                 self.engine.begin_step()
         versions = {item.version for item in self.ranks.values()}
         held = any(item.held is not None for item in self.ranks.values())
--- a/features/models/relayout_engine.py
+++ b/features/models/relayout_engine.py
@@ -1,7 +1,7 @@
-"""Ranks of one group as an engine steps them, and what they do with orders.
+"""Model of the ranks of one group and of how an engine carries out orders.
 
-A rank obeys as an engine's pages say: a version is prepared once, an armed
-layout is taken as its step begins, a held step waits.
+As the engine's documentation states, a version is prepared once, an armed
+layout is used from its step on, and a held step waits.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -18,7 +18,7 @@
 
 
 class Sent(NamedTuple):
-    """An order on its way."""
+    """An order in flight."""
 
     name: str
     order: ranks.Order
@@ -28,11 +28,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class EngineRank:
-    """What a rank of the engine holds.
+    """The state of a rank.
 
     Attributes:
-      fence: Highest that it has seen; forgotten at its restart.
-      highest: Highest version that it was asked to prepare.
+      fence: Highest fence received; reset at a restart.
+      highest: Highest version that it has prepared.
     """
 
     version: int = 0
@@ -44,13 +44,13 @@
 
 
 class Engine:
-    """The ranks of one group, stepped together.
+    """The ranks of one group, which step together.
 
     Attributes:
-      names: Of the ranks, by number.
-      ranks: What each holds.
-      epoch: Rises each time the group forms anew.
-      step: The last that the group began.
+      names: Names of the ranks, by number.
+      ranks: State by name.
+      epoch: Increases each time the group forms anew.
+      step: The latest step that the group began.
     """
 
     def __init__(self, *, size: int) -> None:
@@ -82,18 +82,18 @@
             item.prepared = item.armed = item.held = None
         self.ranks[name] = EngineRank()
 
-    def obey(self, sent: Sent) -> ranks.Outcome:
-        """Carry an order out at a rank."""
+    def carry_out(self, sent: Sent) -> ranks.Outcome:
+        """Carry out an order at a rank."""
         item = self.ranks[sent.name]
         if sent.epoch != self.epoch:
             return ranks.Outcome.REFUSED
         if sent.fence < item.fence:
             return ranks.Outcome.FENCED
         item.fence = sent.fence
-        taken = self._taken(item, sent.order)
-        return ranks.Outcome.TAKEN if taken else ranks.Outcome.REFUSED
+        accepted = self._accepts(item, sent.order)
+        return ranks.Outcome.TAKEN if accepted else ranks.Outcome.REFUSED
 
-    def _taken(self, item: EngineRank, order: ranks.Order) -> bool:
+    def _accepts(self, item: EngineRank, order: ranks.Order) -> bool:
         match order:
             case ranks.Fence(version=version) | ranks.Disarm(version=version):
                 if item.armed and item.armed.version == version:
@@ -106,8 +106,8 @@
                 return True
             case ranks.Arm(version=version, step=step):
                 armed = ranks.Armed(version, step)
-                fit = item.prepared == version and step > self.step
-                if not fit or item.armed not in (None, armed):
+                valid = item.prepared == version and step > self.step
+                if not valid or item.armed not in (None, armed):
                     return False
                 item.armed = armed
                 return True
@@ -122,7 +122,7 @@
                 return True
 
     def report(self, name: str) -> ranks.Rank:
-        """Return what a rank reports now."""
+        """Return the report of a rank."""
         item = self.ranks[name]
         return ranks.Rank(
             group="g",
--- a/features/models/relayout_rules.py
+++ b/features/models/relayout_rules.py
@@ -1,7 +1,6 @@
-"""The rules by which a holder gives orders, and ones that lack a part.
+"""The rules by which a holder sends orders, and variants that lack a part.
 
-Each of the others leaves out one thing that the rules as built do, to show
-that the model finds a fault without it.
+Each variant leaves out one rule, to show that the model detects the fault.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -30,12 +29,12 @@
     def plan_without(
         self, view: Mapping[str, ranks.Rank], missing: int
     ) -> dict[str, ranks.Order]:
-        """Return a holder's next orders while a rank cannot be asked."""
+        """Return a holder's next orders while a rank is unreachable."""
         return relayout.plan_without(view, missing)
 
 
-class Ahead(Rules):
-    """The rules as built, with changes held further ahead, by the step."""
+class LargerMargin(Rules):
+    """The rules as built, with a margin that varies with the step."""
 
     def plan(
         self,
@@ -50,13 +49,13 @@
         )
 
 
-class Guess(Rules):
-    """The change is given up whichever rank is missing."""
+class NoMissingRank(Rules):
+    """The change is cancelled whichever rank is missing."""
 
     def plan_without(
         self, view: Mapping[str, ranks.Rank], missing: int
     ) -> dict[str, ranks.Order]:
-        """Return orders as if no silent rank could be armed."""
+        """Return orders as if the missing rank were never armed."""
         armed = {
             name: ranks.Disarm(item.armed.version)
             for name, item in view.items()
@@ -67,7 +66,7 @@
 
 
 class NoHold(Rules):
-    """Ranks are armed for a step that nobody holds."""
+    """Ranks are armed for a step that no rank holds."""
 
     def plan(
         self,
@@ -75,7 +74,7 @@
         desired: relayout.DesiredLayout | None,
         holder: str,
     ) -> dict[str, ranks.Order]:
-        """Return orders as if the hold had been taken."""
+        """Return orders as if the hold had been accepted."""
         orders = super().plan(view, desired, holder)
         for name, order in orders.items():
             if isinstance(order, ranks.Hold):
@@ -85,13 +84,13 @@
 
 
 class NoFence(Rules):
-    """A new holder goes on at once with what it finds."""
+    """A new holder resumes a change without fencing the ranks."""
 
     fences = False
 
 
-class GoEarly(Rules):
-    """The group goes on once some rank is armed."""
+class EarlyRelease(Rules):
+    """The group is released once any rank is armed."""
 
     def plan(
         self,
@@ -99,11 +98,11 @@
         desired: relayout.DesiredLayout | None,
         holder: str,
     ) -> dict[str, ranks.Order]:
-        """Return a go in place of further arming."""
+        """Return a release in place of further arming."""
         orders = super().plan(view, desired, holder)
-        some = any(item.armed for item in view.values())
+        any_armed = any(item.armed for item in view.values())
         arms = any(isinstance(o, ranks.Arm) for o in orders.values())
-        if not (some and arms):
+        if not (any_armed and arms):
             return orders
         held = {n: r.held for n, r in view.items() if r.held is not None}
         return {name: ranks.Go(step) for name, step in held.items()}
@@ -111,9 +110,9 @@
 
 RULES = {
     "as built": Rules,
-    "held further ahead": Ahead,
+    "held further ahead": LargerMargin,
     "without holding": NoHold,
     "without refusing earlier holders": NoFence,
-    "without arming every rank": GoEarly,
-    "without knowing the silent rank": Guess,
+    "without arming every rank": EarlyRelease,
+    "without knowing the silent rank": NoMissingRank,
 }
--- a/features/models/restarts.py
+++ b/features/models/restarts.py
@@ -1,8 +1,8 @@
-"""Upstreams that start again under their ids, as one entry sees them.
+"""Model of upstreams that restart under their ids, as seen by one entry.
 
-What the entry believes of an upstream is held against what was true of just
-that start.  Records of earlier starts come late, clocks step back between two
-starts, and answers, refusals and ends of requests come after their start.
+Guards against state of one start that is applied to another.  Records of
+earlier starts arrive late, clocks step back between two starts, and answers,
+refusals and ends of requests arrive after the end of their start.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -24,53 +24,53 @@
 from features import platform_directory as fakes
 
 NAMES = ("w1", "w2")
-# A living start whose record another has replaced writes again within this.
+# Within this a running start rewrites a record that another has replaced.
 HEARTBEAT_S = 1.2
-# A record may be written so long after its start sent it.
-LATE_MOST_S = 6.0
-FIRST_BORN_MS = 1_000_000
+# Maximum delay between the sending and the writing of a record.
+MAX_DELAY_S = 6.0
+FIRST_START_MS = 1_000_000
 
 
-class OldBeliefError(AssertionError):
-    """Something believed of one start is held of another."""
+class StaleStateError(AssertionError):
+    """State of one start is applied to another."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class Start:
-    """What is true of one start.
+    """The actual state of one start.
 
     Attributes:
       name: Its upstream.
-      born_ms: When it says that it started.
-      number: Its place among the starts of its upstream.
-      own: Requests of the entry in progress at it.
-      others: Requests that a peer told for it.
-      failures: Failures in a row that the entry saw.
-      loads: What it has told of its load.
+      born_ms: Start time that it announces.
+      number: Its index among the starts of its upstream.
+      local: Requests of the entry in progress at it.
+      remote: Requests that a peer reported for it.
+      failures: Consecutive failures observed by the entry.
+      loads: Loads that it has reported.
       refused: Whether it has refused a request.
-      died_at: When it ended.
-      stepped_back: Whether its clock was behind that of the one before.
+      ended_at: When it ended.
+      stepped_back: Whether its clock was behind that of the start before.
     """
 
     name: str
     born_ms: int
     number: int
-    own: int = 0
-    others: int = 0
+    local: int = 0
+    remote: int = 0
     failures: int = 0
     loads: list = dataclasses.field(default_factory=list)
     refused: bool = False
-    died_at: float | None = None
+    ended_at: float | None = None
     stepped_back: bool = False
 
     @property
     def key(self):
-        """Return how an entry names it."""
+        """Return the start as announced."""
         return announcement.Start(self.name, self.born_ms)
 
     @property
     def address(self):
-        """Return an address that tells the starts apart."""
+        """Return the address, which differs between starts."""
         return f"10.0.{self.number % 250}.1:80"
 
 
@@ -80,29 +80,29 @@
     def __init__(self) -> None:
         self.listing = fakes.Listing()
         self.directory = self.listing.directory
-        self.parts = _parts(self.listing)
+        self.context = _context(self.listing)
         self.starts = {
-            n: [Start(name=n, born_ms=FIRST_BORN_MS, number=0)] for n in NAMES
+            n: [Start(name=n, born_ms=FIRST_START_MS, number=0)] for n in NAMES
         }
         self.seen = dict.fromkeys(NAMES, -1)
         self.requests: list = []
-        self.told = 0
-        self.due_at: dict[str, float] = {}
+        self.reports = 0
+        self.rewrite_at: dict[str, float] = {}
         for name in NAMES:
-            self._write(self.living(name))
-        self._pass(1.0)
+            self._write(self.running(name))
+        self._advance(1.0)
 
     @property
     def now(self) -> float:
         """Return the time."""
         return self.listing.clock.now
 
-    def living(self, name: str) -> Start:
-        """Return the start of an upstream that lives."""
+    def running(self, name: str) -> Start:
+        """Return the running start of an upstream."""
         return self.starts[name][-1]
 
     def act(self, choose) -> None:
-        """Do one thing and see that beliefs are those of their start."""
+        """Carry out one random action and check the entry's state."""
         acts = (
             self._restart,
             self._write_late,
@@ -113,7 +113,7 @@
             self._answer,
             self._fail,
             self._refuse,
-            self._tell_usage,
+            self._report_usage,
             self._wait,
             self._wait,
             self._restart_back,
@@ -122,122 +122,120 @@
         self._check()
 
     def check(self) -> None:
-        """See that the starts that live count in the end."""
-        self._pass(HEARTBEAT_S + starts.CONTENTION_S + 2)
+        """Check that the running starts become current."""
+        self._advance(HEARTBEAT_S + starts.CONTENTION_S + 2)
         self._check()
         for name in NAMES:
             view = self.directory.views_by_name[name]
-            if view.upstream.start != self.living(name).key:
-                raise OldBeliefError(f"{name} is {view.upstream}")
-
-    # What happens.
+            if view.upstream.start != self.running(name).key:
+                raise StaleStateError(f"{name} is {view.upstream}")
 
     def _restart(self, choose, *, back_ms: int = 0) -> None:
         name = choose.pick(NAMES)
-        old = self.living(name)
-        old.died_at = self.now
+        old = self.running(name)
+        old.ended_at = self.now
         ahead_ms = choose.pick((1, 700, 90_000))
         born_ms = old.born_ms - back_ms if back_ms else old.born_ms + ahead_ms
-        # Two starts of the same millisecond are one by their key.
+        # Starts of the same millisecond have the same key.
         while any(item.born_ms == born_ms for item in self.starts[name]):
             born_ms += -1 if back_ms else 1
-        made = Start(
+        start = Start(
             name=name,
             born_ms=born_ms,
             number=old.number + 1,
             stepped_back=bool(back_ms),
         )
-        self.starts[name].append(made)
-        self._write(made)
-        self._pass(0.7)
+        self.starts[name].append(start)
+        self._write(start)
+        self._advance(0.7)
 
     def _restart_back(self, choose) -> None:
-        """Restart with a clock that stepped back; it counts a while later."""
+        """Restart with an earlier clock, until the start is current."""
         self._restart(choose, back_ms=choose.pick((1, 2000)))
-        self._pass(HEARTBEAT_S + starts.CONTENTION_S + 1)
+        self._advance(HEARTBEAT_S + starts.CONTENTION_S + 1)
 
     def _write_late(self, choose) -> None:
-        """Write a record that an earlier start sent before it ended."""
+        """Write a delayed record of an earlier start."""
         name = choose.pick(NAMES)
         rows = [
             item
             for item in self.starts[name][:-1]
-            if self.now - item.died_at < LATE_MOST_S
+            if self.now - item.ended_at < MAX_DELAY_S
         ]
-        # By its time alone nobody can tell such a record from a start.
+        # By its time such a record cannot be distinguished from a new start.
         if not rows or any(i.stepped_back for i in self.starts[name][-4:]):
             return
         self._write(choose.pick(rows))
-        self.due_at.setdefault(name, self.now + HEARTBEAT_S)
-        self._pass(choose.pick((0.4, 1.0)))
+        self.rewrite_at.setdefault(name, self.now + HEARTBEAT_S)
+        self._advance(choose.pick((0.4, 1.0)))
 
     def _write_again(self, choose) -> None:
-        self._write(self.living(choose.pick(NAMES)))
+        self._write(self.running(choose.pick(NAMES)))
 
     def _send(self, choose) -> None:
-        """Give an upstream a request, if the entry may."""
+        """Send a request to an upstream that the entry may use."""
         name = choose.pick(NAMES)
         view = self.directory.views_by_name.get(name)
         if view is None or not view.serves("push"):
             return
         choice = types.SimpleNamespace(name=name, reason="wait")
-        asked = types.SimpleNamespace(choice=choice, view=None)
-        self.parts.reserve(asked)
-        start = self._true(view.upstream)
-        start.own += 1
-        self.requests.append((asked, start))
+        request = types.SimpleNamespace(choice=choice, view=None)
+        self.context.reserve(request)
+        start = self._actual(view.upstream)
+        start.local += 1
+        self.requests.append((request, start))
 
     def _end(self, choose):
-        """Return a request in progress, which ends now."""
+        """Remove and return a request in progress."""
         if not self.requests:
             return None, None
         return self.requests.pop(choose.pick(range(len(self.requests))))
 
     def _answer(self, choose) -> None:
-        asked, start = self._end(choose)
-        if asked is None:
+        request, start = self._end(choose)
+        if request is None:
             return
         load = announcement.Load(choose.pick((1, 4)), start.number % 7, 6)
         self.directory.record_load(start.key, load)
-        self.parts.record_success(start.name, view=asked.view)
+        self.context.record_success(start.name, view=request.view)
         start.loads.append(load)
         start.failures = 0
-        self._release(asked, start)
+        self._release(request, start)
 
     def _fail(self, choose) -> None:
-        asked, start = self._end(choose)
-        if asked is None:
+        request, start = self._end(choose)
+        if request is None:
             return
-        self.parts.record_failure(start.name, view=asked.view)
+        self.context.record_failure(start.name, view=request.view)
         start.failures += 1
-        self._release(asked, start)
+        self._release(request, start)
 
     def _refuse(self, choose) -> None:
-        asked, start = self._end(choose)
-        if asked is None:
+        request, start = self._end(choose)
+        if request is None:
             return
         self.directory.record_refused(start.key)
         start.refused = True
-        self._release(asked, start)
+        self._release(request, start)
 
-    def _release(self, asked, start) -> None:
-        self.parts.release(asked)
-        start.own -= 1
+    def _release(self, request, start) -> None:
+        self.context.release(request)
+        start.local -= 1
 
-    def _tell_usage(self, choose) -> None:
-        """Have a peer tell what it has at the starts that it sees."""
+    def _report_usage(self, choose) -> None:
+        """Receive a peer's report of its requests per start."""
         seen = [choose.pick(self.starts[name]) for name in NAMES]
         for rows in self.starts.values():
             for item in rows:
-                item.others = 0
+                item.remote = 0
         for item in seen:
-            item.others = choose.pick((0, 3))
-        self.told += 1
-        counts = {short_hash.of(i.key.key): i.others for i in seen if i.others}
+            item.remote = choose.pick((0, 3))
+        self.reports += 1
+        counts = {short_hash.of(i.key.key): i.remote for i in seen if i.remote}
         message = ttypes.Usage(
             name="f2",
             incarnation="i2",
-            number=self.told,
+            number=self.reports,
             counts=counts,
             known=[],
             offset=0,
@@ -249,26 +247,24 @@
         )
 
     def _wait(self, choose) -> None:
-        self._pass(choose.pick((0.2, 1.0, 3.0)))
-
-    # The platform.
+        self._advance(choose.pick((0.2, 1.0, 3.0)))
 
     def _write(self, start: Start) -> None:
         value = fakes.entry(addr=start.address, born=start.born_ms)
         self.listing.write(start.name, value)
 
-    def _pass(self, seconds: float) -> None:
-        """Let time pass; who lives and was contradicted writes again."""
+    def _advance(self, seconds: float) -> None:
+        """Advance the clock; running starts rewrite replaced records."""
         for _ in range(round(seconds / 0.1)):
-            for name in [n for n, at in self.due_at.items() if at <= self.now]:
-                del self.due_at[name]
-                self._write(self.living(name))
+            for name in [
+                n for n, at in self.rewrite_at.items() if at <= self.now
+            ]:
+                del self.rewrite_at[name]
+                self._write(self.running(name))
             self.listing.pass_time(0.1)
 
-    # What must be so.
-
-    def _true(self, item: announcement.Announcement) -> Start:
-        """Return the start that an announcement is of, the newest if two."""
+    def _actual(self, item: announcement.Announcement) -> Start:
+        """Return the start of an announcement; the newest if several match."""
         rows = reversed(self.starts[item.name])
         return next(
             row
@@ -280,31 +276,31 @@
         for name in NAMES:
             view = self.directory.views_by_name.get(name)
             if view is not None:
-                self._check_view(view, self._true(view.upstream))
+                self._check_view(view, self._actual(view.upstream))
 
     def _check_view(self, view, start: Start) -> None:
-        _same("start", start.number >= self.seen[start.name], start)
+        _require("start", start.number >= self.seen[start.name], start)
         if start.number > self.seen[start.name] >= 0:
             before = self.starts[start.name][self.seen[start.name]]
             closed = before.address in self.listing.connections.closed
-            _same("connections", closed, before)
+            _require("connections", closed, before)
         self.seen[start.name] = start.number
-        _same("own", view.local_in_flight == start.own, start)
-        others = self.listing.usage.others(view.upstream.start.key)
-        _same("others", others == start.others, start)
-        _same("load", view.load is None or view.load in start.loads, start)
+        _require("local", view.local_in_flight == start.local, start)
+        remote = self.listing.usage.others(view.upstream.start.key)
+        _require("remote", remote == start.remote, start)
+        _require("load", view.load is None or view.load in start.loads, start)
         refused = view.refused_at > float("-inf")
-        _same("refused", not refused or start.refused, start)
-        _same("failures", view.breaker.failures == start.failures, start)
+        _require("refused", not refused or start.refused, start)
+        _require("failures", view.breaker.failures == start.failures, start)
 
 
-def _same(what: str, holds: bool, start: Start) -> None:
+def _require(what: str, holds: bool, start: Start) -> None:
     if not holds:
-        raise OldBeliefError(f"{what} is not that of {start}")
+        raise StaleStateError(f"{what} is not that of {start}")
 
 
-def _parts(listing) -> contexts.Context:
-    """Return what filters share, over a directory."""
+def _context(listing) -> contexts.Context:
+    """Return the context of the filters with a directory."""
     return contexts.Context(
         reactor=listing.reactor,
         clock=listing.clock,
@@ -319,16 +315,16 @@
     )
 
 
-# Rules taken out, one at a time.
+# Each function below replaces one rule by a faulty one.
 
 
 def _keeping(*fields: str) -> Callable[[], contextlib.AbstractContextManager]:
-    """Return a rule that keeps beliefs of the start before."""
-    made = directory.Directory._new_view
+    """Return a patch that keeps fields of the start before."""
+    original = directory.Directory._new_view
 
     def new_view(self, item):
         old = self.views_by_name.get(item.name)
-        view = made(self, item)
+        view = original(self, item)
         for field in fields if old is not None else ():
             setattr(view, field, getattr(old, field))
         return view
@@ -339,8 +335,8 @@
 
 
 def _released_by_name():
-    def release(self, asked):
-        self.membership.views_by_name[asked.choice.name].local_in_flight -= 1
+    def release(self, request):
+        self.membership.views_by_name[request.choice.name].local_in_flight -= 1
 
     return mock.patch.object(contexts.Context, "release", release)
 
@@ -354,8 +350,8 @@
 
 def _failures_by_name():
     def record_failure(self, name, *, view=None):
-        found = self.membership.views_by_name[name]
-        found.breaker = circuit.failed(found.breaker, self.clock.monotonic())
+        view = self.membership.views_by_name[name]
+        view.breaker = circuit.failed(view.breaker, self.clock.monotonic())
 
     return mock.patch.object(
         contexts.Context, "record_failure", record_failure
@@ -373,14 +369,14 @@
     )
 
 
-def _late_records_win():
+def _late_records_accepted():
     def classify(self, item, now):
         return starts.Verdict.CURRENT
 
     return mock.patch.object(starts.Starts, "classify", classify)
 
 
-def _later_birth_always_wins():
+def _latest_time_wins():
     return mock.patch.object(
         starts.Starts, "promote_due", lambda self, now: []
     )
@@ -397,6 +393,6 @@
     "counting failures by id": _failures_by_name,
     "counting peers' requests by id": _usage_by_name,
     "keeping connections": _connections_kept,
-    "taking late records": _late_records_win,
-    "never believing a clock that stepped back": _later_birth_always_wins,
+    "taking late records": _late_records_accepted,
+    "never believing a clock that stepped back": _latest_time_wins,
 }
--- a/features/restarts.feature
+++ b/features/restarts.feature
@@ -1,15 +1,15 @@
-Feature: Nothing believed of one start of an upstream holds for another
+Feature: State of one start of an upstream is not applied to another
 
-  An upstream may start again under the id and the address that it had.  It
-  then knows nothing of before.  The start is told by its time of birth.
+  An upstream may restart under the same id and address, without any state.
+  Starts are distinguished by their start times.
 
-  Scenario: The beliefs of an entry are those of the start that it sees
+  Scenario: The state of an entry is that of the current start
     When 200 generated and 400 seeded traces of restarts run as built
-    Then none holds a belief of another start
+    Then no state is applied to another start
 
   Scenario Outline: The replay finds a fault <rules>
     When up to 400 seeded traces of restarts run <rules>
-    Then one of them holds a belief of another start
+    Then one of them applies state to another start
 
     Examples:
       | rules                                     |
--- a/features/steps/memory_steps.py
+++ b/features/steps/memory_steps.py
@@ -1,4 +1,4 @@
-"""Steps on memory and back-pressure."""
+"""Steps on memory and backpressure."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -23,7 +23,7 @@
 
 
 @when(
-    "{count:d} callers ask for {events:d} events each and read nothing for "
+    "{count:d} callers request {events:d} events each and do not read for "
     "{seconds:d} s"
 )
 def _(context, count, events, seconds):
@@ -32,14 +32,16 @@
     context.pids = [made.processes[n].popen.pid for n in (entry, agent)]
     context.before = [path.rss_mb(pid) for pid in context.pids]
     context.count, context.events = count, events
-    context.sockets = [_ask(made, entry, events) for _ in range(count)]
+    context.sockets = [
+        _send_request(made, entry, events) for _ in range(count)
+    ]
     time.sleep(seconds)
     context.after = [path.rss_mb(pid) for pid in context.pids]
     url = f"{made.upstream_http[agent]}/left"
     context.left = made.client.get(url).json()
 
 
-def _ask(made, entry, events):
+def _send_request(made, entry, events):
     address, port = made.http[entry].removeprefix("http://").split(":")
     body = json.dumps(
         {"model": "m1", "prompt": "x", "max_tokens": events, "stream": True}
@@ -48,28 +50,31 @@
     lines += [f"{k}: {v}" for k, v in made.headers().items()]
     lines += [f"content-length: {len(body)}", "connection: close", "", ""]
     sock = socket.socket()
-    # A small window, so that the kernel does not hold the answer for us.
+    # A small receive buffer, so that the kernel does not buffer the answer.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
     sock.connect((address, int(port)))
     sock.sendall("\r\n".join(lines).encode() + body)
     return sock
 
 
-@then("entry and agent have each grown by less than {limit:d} KB a caller")
+@then(
+    "the memory of entry and agent has grown by less than {limit:d} KB per "
+    "caller"
+)
 def _(context, limit):
     grown = [b - a for a, b in zip(context.before, context.after, strict=True)]
     print(f"grown by {grown} MB for {context.count} callers")
-    most = limit * context.count / 1024
-    assert all(size < most for size in grown), grown
+    max_mb = limit * context.count / 1024
+    assert all(size < max_mb for size in grown), grown
 
 
-@then("the engine was held back long before its last event")
+@then("the engine was paused long before its last event")
 def _(context):
     assert len(context.left) == context.count, context.left
     assert min(context.left) > context.events * 0.5, min(context.left)
 
 
-@then("the callers who then read get every event")
+@then("a caller that then reads gets every event")
 def _(context):
     sock = context.sockets[0]
     for other in context.sockets[1:]:
@@ -78,7 +83,7 @@
     seen, tail = 0, b""
     while data := sock.recv(1 << 20):
         joined = tail + data
-        cut = joined.rfind(b"\n") + 1
-        seen += joined[:cut].count(EVENT)
-        tail = joined[cut:]
+        end = joined.rfind(b"\n") + 1
+        seen += joined[:end].count(EVENT)
+        tail = joined[end:]
     assert seen == context.events, seen
--- a/features/steps/replay_steps.py
+++ b/features/steps/replay_steps.py
@@ -23,7 +23,7 @@
 
 TRACES = pathlib.Path(__file__).parent.parent / "traces"
 FAULTS = (
-    configlog.DiffersError,
+    configlog.StateMismatchError,
     exchange.ToldWrongError,
     lockstep.MixedStepError,
     oncekeys.DoubleRunError,
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay restarts of upstreams against an entry's beliefs."""
+"""Steps that replay restarts of upstreams against the state of an entry."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -23,14 +23,14 @@
 
 
 def _run_seeded(context, count):
-    """Run traces until one breaks a rule; tell which."""
+    """Run traces until one fails, and record it."""
     for seed in range(count):
         source = random.Random(seed)
         context.ran += 1
         try:
             _run([source.randrange(1000) for _ in range(EVENTS)])
-        except restarts.OldBeliefError as found:
-            context.found = (seed, found)
+        except restarts.StaleStateError as failure:
+            context.found = (seed, failure)
             return
 
 
@@ -66,11 +66,11 @@
     print(rules, "found by seed", context.found and context.found[0])
 
 
-@then("none holds a belief of another start")
+@then("no state is applied to another start")
 def _(context):
     assert context.found is None, context.found
 
 
-@then("one of them holds a belief of another start")
+@then("one of them applies state to another start")
 def _(context):
     assert context.found is not None, f"not found in {context.ran} traces"
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is believed before a machine is suspended."""
+"""Steps on state that expires during a suspension of the machine."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -22,8 +22,7 @@
 from features import machine_clocks
 from features.models import suspects as suspects_model
 
-# Each of these sets something up that is believed, and returns a function
-# that tells whether it still is.
+# Each of these sets up state and returns a predicate: whether it is in effect.
 
 
 def _lease(clocks):
@@ -38,7 +37,7 @@
 
 
 def _peer(clocks):
-    made = usage.Usage(
+    controller = usage.Usage(
         reactor=task.Clock(),
         clock=clocks,
         name="f1",
@@ -50,7 +49,7 @@
         offset=lambda: 0,
         roster_offset=lambda: 0,
     )
-    made._peers["f2"] = usage.Peer(
+    controller._peers["f2"] = usage.Peer(
         name="f2",
         incarnation="i",
         number=1,
@@ -58,13 +57,13 @@
         received_at=clocks.monotonic(),
         address="127.0.0.2",
     )
-    made._update_entries()
+    controller._update_entries()
 
-    def heard():
-        made._broadcast()
-        return len(made.entries.reachable) == 2
+    def is_reachable():
+        controller._broadcast()
+        return len(controller.entries.reachable) == 2
 
-    return heard
+    return is_reachable
 
 
 def _view(clocks):
@@ -95,35 +94,35 @@
 
 
 def _backoff(clocks):
-    made = backoffs.Backoffs(
+    controller = backoffs.Backoffs(
         reactor=task.Clock(),
         clock=clocks,
         metrics=metrics.Metrics(),
         on_expired=lambda: None,
     )
     start = announcement.Start("u", None)
-    made.record_backoff(start, 3.0)
-    return lambda: made.blocks(start)
+    controller.record_backoff(start, 3.0)
+    return lambda: controller.blocks(start)
 
 
 def _circuit(clocks):
-    found = circuit.CLOSED
+    breaker = circuit.CLOSED
     for _ in range(circuit.FAILURES_TO_OPEN):
-        found = circuit.failed(found, clocks.monotonic())
-    return lambda: not circuit.allows(found, clocks.monotonic())
+        breaker = circuit.failed(breaker, clocks.monotonic())
+    return lambda: not circuit.allows(breaker, clocks.monotonic())
 
 
 def _idle(clocks):
-    made = pool.Pool(reactor=task.Clock(), clock=clocks)
-    kept = types.SimpleNamespace(
-        usable=True, address="a:1", kept_s=4.0, abort=lambda: None
+    controller = pool.Pool(reactor=task.Clock(), clock=clocks)
+    idle = types.SimpleNamespace(
+        usable=True, address="a:1", keep_alive_s=4.0, abort=lambda: None
     )
-    made.release(kept)
-    return lambda: made._pop_idle("a:1", None) is kept
+    controller.release(idle)
+    return lambda: controller._pop_idle("a:1", None) is idle
 
 
 def _conviction(clocks):
-    made = suspects.Suspects(
+    controller = suspects.Suspects(
         reactor=None,
         clock=clocks,
         evidence=None,
@@ -132,41 +131,41 @@
     asked = suspects_model.Caller(1, guilty=True).call()
     for number in range(2):
         start = announcement.Start(f"u{number}", None)
-        made._record_crash(start, [suspects.Loss(asked, 1)])
-    return lambda: made.convicted_s(asked) > 0
+        controller._record_crash(start, [suspects.Loss(asked, 1)])
+    return lambda: controller.convicted_s(asked) > 0
 
 
-BELIEFS = {
+STATES = {
     "a lease of 3 s": _lease,
-    "1 s left for a request": _request,
-    "an entry that was heard": _peer,
+    "a deadline in 1 s": _request,
+    "a reachable entry": _peer,
     "an upstream's load": _load,
     "an upstream's refusal": _refusal,
     "a backoff of 3 s": _backoff,
     "an open circuit": _circuit,
-    "a connection that was idle": _idle,
+    "an idle connection": _idle,
     "a conviction": _conviction,
 }
 
 
-@when("the machine is suspended for {seconds:g} s with {belief}")
-def _(context, seconds, belief):
+@when("the machine is suspended for {seconds:g} s with {state}")
+def _(context, seconds, state):
     clocks = machine_clocks.Clocks()
-    context.believed = BELIEFS[belief](clocks)
-    assert BELIEFS[belief](machine_clocks.Clocks())(), (
-        "it is not believed to begin with"
+    context.in_effect = STATES[state](clocks)
+    assert STATES[state](machine_clocks.Clocks())(), (
+        "not in effect before the suspension"
     )
     clocks.suspend(seconds)
 
 
-@then("{belief} no longer counts")
-def _(context, belief):
-    assert not context.believed(), belief
+@then("{state} has expired")
+def _(context, state):
+    assert not context.in_effect(), state
 
 
 @when(
-    "the bucket of a limit of 1 request a second is empty for {seconds:g} s "
-    "of suspension"
+    "the bucket of a limit of 1 request per second is empty before a "
+    "suspension of {seconds:g} s"
 )
 def _(context, seconds):
     clocks = machine_clocks.Clocks()
@@ -175,7 +174,7 @@
     context.bucket = rate_limit.refilled(empty, 1.0, clocks.monotonic())
 
 
-@then("one request may go, and not more")
+@then("exactly one request may be sent")
 def _(context):
     assert rate_limit.wait_s(context.bucket, 1.0) == 0
     assert rate_limit.wait_s(rate_limit.debited(context.bucket), 1.0) > 0
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -10,10 +10,7 @@
 import types
 
 from behave import given, then, when
-from reelscale_core import (
-    error,
-    suspension,
-)
+from reelscale_core import error, suspension
 from reelscale_daemon import metrics
 from reelscale_daemon.adapters import base
 from reelscale_daemon.controllers import config
@@ -24,8 +21,8 @@
 from standins import process
 
 
-def _happen(clocks, event):
-    """Have something happen to a machine, as its words say."""
+def _apply(clocks, event):
+    """Apply an event to a machine."""
     words = event.split()
     seconds = float(words[words.index("s") - 1])
     if words[0] == "suspended":
@@ -33,40 +30,40 @@
     elif words[0] == "busy":
         clocks.advance(seconds)
     else:
-        clocks.put_s += seconds if "forward" in words else -seconds
+        clocks.offset_s += seconds if "forward" in words else -seconds
 
 
-@when("this befalls a machine: {event}")
+@when("this event occurs at a machine: {event}")
 def _(context, event):
     clocks = machine_clocks.Clocks(counts_suspensions="without" not in event)
     before = suspension.read(clocks)
-    _happen(clocks, event)
+    _apply(clocks, event)
     clocks.advance(0.25)
     context.seconds = suspension.suspended_s(before, suspension.read(clocks))
 
 
-@then("a suspension of {seconds:g} s is noticed")
+@then("a suspension of {seconds:g} s is detected")
 def _(context, seconds):
     assert abs(context.seconds - seconds) < 1e-6, context.seconds
 
 
 class Log:
-    """A log that answers when the test says so, or not at all."""
+    """A log whose answer the test triggers."""
 
     def __init__(self):
-        self.turn = defer.Deferred()
+        self.answer = defer.Deferred()
 
     async def read(self, from_offset, *, wait_s):
-        """Wait for the test, then give one record that says nothing."""
-        await self.turn
+        """Wait for the test, then return one invalid record."""
+        await self.answer
         return base.Rows([(from_offset, None)], 0, from_offset + 1)
 
 
 class Peers:
-    """Peers that do not answer."""
+    """Peers that do not respond."""
 
     def to(self, peer):
-        """Return one."""
+        """Return a peer."""
         return types.SimpleNamespace(call=lambda *_, **__: defer.Deferred())
 
 
@@ -85,15 +82,15 @@
     context.made.ready = True
 
 
-@when("the machine was suspended and the log has a record more")
+@when("the machine was suspended and the log has a new record")
 def _(context):
     context.made.doubt()
 
 
-@then("no request is taken until the log has answered")
+@then("no request is accepted until the log has answered")
 def _(context):
     assert not context.made.ready
-    context.log.turn.callback(None)
+    context.log.answer.callback(None)
     assert context.made.ready
 
 
@@ -106,10 +103,10 @@
 def _(context):
     context.made.doubt()
     down = error.CodedError("log-down", step="read")
-    context.log.turn.errback(down)
+    context.log.answer.errback(down)
 
 
-@then("no request is taken for 1 s, and then again on offset {offset:d}")
+@then("no request is accepted for 1 s, and then again on offset {offset:d}")
 def _(context, offset):
     context.reactor.advance(0.9)
     assert not context.made.ready
@@ -157,7 +154,7 @@
     assert 0.3 <= context.waited_s < seconds, context.waited_s
 
 
-@given("an entry's watch for suspensions")
+@given("an entry that watches for suspensions")
 def _(context):
     log_lines.keep(context)
     context.clocks, context.metrics = (
@@ -180,14 +177,14 @@
     context.watch.look()
 
 
-@then("a line says so, with what was dropped")
+@then("a log line reports it, with the state that was dropped")
 def _(context):
     (line,) = [r for r in context.lines.rows if "suspended" in r.sentence]
     assert line.fields["seconds"] == 5.0, line
     assert line.fields["idle_connections"] == 3, line
 
 
-@then("the counter of suspensions stands at {count:d}")
+@then("the counter of suspensions is {count:d}")
 def _(context, count):
     text, _ = context.metrics.text()
     assert f"reelscale_suspensions_total {count}".encode() in text, text
@@ -198,34 +195,34 @@
     made = context.cluster
     conn = made.connect("f1")
     headers = made.headers(Deadline_Ms="1000")
-    context.outcome = []
+    context.answers = []
     platform_clients.send(conn, headers, "/chat/mute/1")
 
     def read():
         answer = platform_clients.broken_off(conn.getresponse)
-        context.outcome.append(answer)
+        context.answers.append(answer)
 
     thread = threading.Thread(target=read)
     thread.start()
-    # Frozen once the worker runs it.
+    # Freeze the entry once the worker runs the request.
     context.request_id = headers["Request-Id"]
-    process.wait_for(lambda: made.runs_of(context.request_id), "its run")
+    process.wait_for(lambda: made.runs_of(context.request_id), "the run")
     made.processes["f1"].freeze()
     time.sleep(2.0)
     made.processes["f1"].thaw()
     thread.join(10)
 
 
-@then("it is ended without a success, and the worker hears of its end")
+@then("it is ended without a success, and the worker is notified")
 def _(context):
-    (answer,) = context.outcome
+    (answer,) = context.answers
     assert answer is None or answer.status >= 500, answer
     made = context.cluster
     process.wait_for(
         lambda: all(
             run["left_at"] for run in made.runs_of(context.request_id)
         ),
-        "the worker to hear of its end",
+        "the worker to be notified",
     )
 
 
