--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/reach.py
@@ -1,6 +1,6 @@
 """Queries and orders the ranks of a group, through their agents if possible.
 
-Calling a rank from another box is slower and costs more.  It is done only
+Calling a rank from another box is slower and costs more.  Queries do so only
 while its agent is unresponsive, so that a change can still be completed.
 """
 
