--- a/features/steps/agent_backoff_steps.py
+++ b/features/steps/agent_backoff_steps.py
@@ -19,7 +19,7 @@
 def _submit(context):
     """Submit an attempt; return it with what the gate said."""
     request = agent_fakes.submission(next(context.attempts))
-    return request, context.streams.judge(request)
+    return request, context.streams.decide(request)
 
 
 def _answer(context, status, header):
--- a/features/steps/agent_streams_steps.py
+++ b/features/steps/agent_streams_steps.py
@@ -130,7 +130,7 @@
     agent_fakes.start(context, capacity=1)
     context.silent_s = 0
     request = agent_fakes.submission("a")
-    assert context.streams.judge(request).admitted
+    assert context.streams.decide(request).admitted
     context.streams.start(request)
     context.upstream.sink.head(upstream.Head(200, ()))
 
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -149,7 +149,7 @@
 
     def taken():
         return any(
-            row["text"] == "Took the state of a peer."
+            row["text"] == "Adopted the state of a peer."
             for row in made.log_lines(name)
         )
 
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -84,7 +84,7 @@
 
 @when("the machine was suspended and the log has a new record")
 def _(context):
-    context.made.doubt()
+    context.made.require_confirmation()
 
 
 @then("no request is accepted until the log has answered")
@@ -101,7 +101,7 @@
 
 @when("the machine was suspended and neither the log nor a peer answers")
 def _(context):
-    context.made.doubt()
+    context.made.require_confirmation()
     down = error.CodedError("log-down", step="read")
     context.log.answer.errback(down)
 
@@ -171,10 +171,10 @@
 
 @when("its machine is suspended for {seconds:g} s")
 def _(context, seconds):
-    context.watch.look()
+    context.watch.check()
     context.clocks.suspend(seconds)
-    context.watch.look()
-    context.watch.look()
+    context.watch.check()
+    context.watch.check()
 
 
 @then("a log line reports it, with the state that was dropped")
--- a/packages/reelscale-daemon/src/reelscale_daemon/agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/agent.py
@@ -176,31 +176,31 @@
 
     async def _submit(self, request: ttypes.Submit) -> ttypes.Verdict:
         if request.attempt in self._streams.by_attempt:
-            return self._streams.admitted()
+            return self._streams.admission()
         if not self._base.config.ready:
-            return self._streams.verdict("not-ready")
-        answer = self._streams.judge(request)
+            return self._streams.refusal("not-ready")
+        answer = self._streams.decide(request)
         if not answer.admitted:
-            return self._streams.verdict(answer.code)
+            return self._streams.refusal(answer.code)
         if answer.repeated:
-            return self._streams.admitted()
+            return self._streams.admission()
         if request.once_key:
             return await self._submit_once(request)
         self._streams.start(request)
-        return self._streams.admitted()
+        return self._streams.admission()
 
     async def _submit_once(self, request: ttypes.Submit) -> ttypes.Verdict:
         decision = await self._keys.decide(request)
         match decision:
             case idempotency.Run():
                 self._streams.start(request)
-                return self._streams.admitted()
+                return self._streams.admission()
             case idempotency.Repeat():
-                kept = self._keys.kept_by_key.get(request.once_key)
+                kept = self._keys.answers_by_key.get(request.once_key)
                 if kept is None:
                     return self._not_again(request, "key-taken")
                 self._streams.replay(request, kept.head, kept.body)
-                return self._streams.admitted()
+                return self._streams.admission()
             case idempotency.Refuse(code=code, not_run=True):
                 return self._streams.refuse(request.attempt, code)
             case idempotency.Refuse(code=code):
@@ -210,7 +210,7 @@
     def _not_again(self, request: ttypes.Submit, code: str) -> ttypes.Verdict:
         """Refuse a key that has run or may have: the answer is unknown."""
         self._streams.refuse(request.attempt, code)
-        return self._streams.verdict(code, unknown=True)
+        return self._streams.refusal(code, unknown=True)
 
     def submit(self, request: ttypes.Submit) -> defer.Deferred:
         """Take an attempt from an entry, or refuse it."""
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/config.py
@@ -1,8 +1,8 @@
-"""Follows the log and keeps the configuration that is in force here.
+"""Follows the log and maintains the configuration in force at this process.
 
-The state's offset only ever rises.  While the log cannot be asked, the
-state comes from peers, and again only a higher offset is taken.  A process
-that could ask neither since its start is not ready.
+The offset of the state never decreases.  While the log is unavailable, the
+state is read from peers, again only at a higher offset.  A process that has
+reached neither since its start is not ready.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -25,23 +25,20 @@
 
 LOG = logs.Logger("config")
 RETRY_S = 0.25
-# Seconds for which a read waits at the log for something new.  An answer
-# that is lost makes a process deaf for this long and the client's margin of
-# 0.3 s; together they are to be less than the 3 s for which the log must
-# have been sound before a configuration has to be in force.
+# Seconds for which a read waits at the log for new records.  With the client's
+# margin of 0.3 s it must stay below the 3 s within which a configuration has
+# to be in force, as a lost answer delays updates by that much.
 POLL_S = 2.2
 PEER_TIMEOUT_S = 2.0
-# Peers asked for their state at a time, so that an outage is no storm.
-PEERS_ASKED = 3
-# A configuration that is in doubt is confirmed by the log or by peers; when
-# neither has answered after this long, in seconds, it counts all the same, as
-# a hall that is cut off serves what it can.
-DOUBT_MOST_S = 1.0
-# The log counts as out of reach after this long without an answer.
-LOG_FRESH_S = 3.0
-# A log that never answered is shown with this age, in seconds, some eleven
-# days: longer than any process waits for its first configuration.
-LONGEST_AGE_S = 1e6
+# Peers queried at a time, which limits the load during an outage of the log.
+PEERS_QUERIED = 3
+# Seconds to wait for the log or a peer to confirm the configuration; without
+# an answer it is used unconfirmed, so that a partitioned hall keeps serving.
+CONFIRM_TIMEOUT_S = 1.0
+# Seconds without an answer after which the log is considered unavailable.
+LOG_TIMEOUT_S = 3.0
+# Reported age, in seconds, of a log that has never answered.
+MAX_AGE_S = 1e6
 
 
 class Config:
@@ -59,18 +56,18 @@
         poll_s: Callable[[], float] = lambda: POLL_S,
         peer_lead_s: float | None = None,
     ) -> None:
-        """Make it; run() follows the log.
+        """Initialize with an empty state; run() follows the log.
 
         Args:
-          reactor: The loop.
-          clock: The time.
+          reactor: The reactor.
+          clock: The clock.
           platform: The log.
           links: Connections to peers.
           peers: Addresses of some peers.
           snapshot_every: Records after which a snapshot is written.
-          poll_s: Gives how long the next read waits at the log.
+          poll_s: Returns how long the next read waits at the log.
           peer_lead_s: How long a peer may be ahead before its state is
-            taken while the log answers; None for as long as it answers.
+            adopted while the log answers; None for never.
         """
         self.state = states.State()
         self.ready = False
@@ -81,8 +78,8 @@
         self._platform = platform
         self._links = links
         self.peers = set(peers)
-        self._down_said = False
-        self._dumped = (-1, "")
+        self._outage_logged = False
+        self._cached_dump = (-1, "")
         self._snapshot_every = snapshot_every
         self._poll_s = poll_s
         self._log_at = float("-inf")
@@ -91,7 +88,7 @@
         self._waiters: list[tuple[Callable[[], Any], defer.Deferred]] = []
         self._peer_lead_s = peer_lead_s
         self._pulling = False
-        self._asking = False
+        self._querying = False
         self._failing = False
         self._stopped = False
         self._follower = follower.Follower(
@@ -108,77 +105,77 @@
         self._listeners.append(listener)
 
     def log_age_s(self) -> float:
-        """Return seconds since the log last answered."""
+        """Return the seconds since the log last answered."""
         return self._clock.monotonic() - self._log_at
 
-    def shown_log_age_s(self) -> float:
-        """Return the age for gauges and the wire, which take no infinity."""
-        return min(self.log_age_s(), LONGEST_AGE_S)
+    def reported_log_age_s(self) -> float:
+        """Return the age as a finite number, for gauges and the wire."""
+        return min(self.log_age_s(), MAX_AGE_S)
 
     def log_age_ms(self) -> int:
-        """Return the age as it is shown, in whole milliseconds."""
-        return int(self.shown_log_age_s() * 1000)
+        """Return the reported age in whole milliseconds."""
+        return int(self.reported_log_age_s() * 1000)
 
     def stop(self) -> None:
-        """Follow the log no longer."""
+        """Stop following the log."""
         self._stopped = True
 
     async def run(self) -> None:
         """Follow the log until stopped."""
         await self._follower.run()
 
-    def doubt(self) -> None:
-        """Take no request until the configuration in force is confirmed.
+    def require_confirmation(self) -> None:
+        """Become unready until the configuration in force is confirmed.
 
-        The machine stood still, and there may be a newer one since long.
+        Called after a suspension, during which it may have been replaced.
         """
         if not self.ready:
             return
         self.ready = False
-        self._reactor.callLater(DOUBT_MOST_S, self._end_doubt)
+        self._reactor.callLater(CONFIRM_TIMEOUT_S, self._end_confirmation)
         defer.ensureDeferred(self._confirm())
 
     async def _confirm(self) -> None:
-        """Ask the log for newer records, and peers if it cannot tell."""
+        """Read newer records of the log, or query peers if it is down."""
         try:
             got = await self._platform.read(self.state.offset + 1, wait_s=0)
         except error.CodedError as down:
-            await self._ask_peers(down)
+            await self._query_peers(down)
             return
         self._log_at = self._clock.monotonic()
-        self._take(fold.fold(self.state, got.rows))
+        self._apply(fold.fold(self.state, got.rows))
         self.ready = True
 
-    def _end_doubt(self) -> None:
+    def _end_confirmation(self) -> None:
         if not self.ready:
             self.ready = True
             LOG.warning(
-                "Nobody confirms the configuration; it counts all the same.",
+                "Using an unconfirmed configuration.",
                 offset=self.state.offset,
             )
 
     async def _round(self) -> float:
-        """Read the log once; the next read follows at once."""
+        """Read the log once; return 0, as the next read follows at once."""
         await self._read()
         self._failing = False
         return 0.0
 
     async def _on_down(self, down: error.CodedError) -> float:
-        """Ask peers once the log was away for long; return the pause."""
+        """Query peers once the log is unavailable; return the retry delay."""
         self._failing = True
-        if self.log_age_s() > LOG_FRESH_S and not self._asking:
-            defer.ensureDeferred(self._ask_peers(down))
+        if self.log_age_s() > LOG_TIMEOUT_S and not self._querying:
+            defer.ensureDeferred(self._query_peers(down))
         return RETRY_S * (1 + random.random())
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the following of the log gets on."""
+        """Return the progress of following the log."""
         return self._follower.progress
 
     async def settled(
         self, plan_id: str, timeout_s: float
     ) -> states.Verdict | None:
-        """Wait until the fold has judged a plan; None if it takes long."""
+        """Wait for the verdict on a plan; return None after the time-out."""
 
         def verdict() -> states.Verdict | None:
             return self.state.verdicts_by_id.get(plan_id)
@@ -186,7 +183,7 @@
         return await self._until(verdict, timeout_s)
 
     async def planned(self, plan_id: str, timeout_s: float) -> Any:
-        """Wait until the fold has taken a plan in; None if it takes long."""
+        """Wait until a plan is recorded; return None after the time-out."""
 
         def row() -> Any:
             return self.state.plans_by_id.get(plan_id)
@@ -194,26 +191,26 @@
         return await self._until(row, timeout_s)
 
     async def _until(self, find: Callable[[], Any], timeout_s: float) -> Any:
-        """Wait until a function of the state finds something."""
-        found = find()
-        if found is not None:
-            return found
+        """Wait until a function of the state returns a value."""
+        value = find()
+        if value is not None:
+            return value
         waiter: defer.Deferred = defer.Deferred()
-        row = (find, waiter)
-        self._waiters.append(row)
-        later = self._reactor.callLater(timeout_s, waiter.callback, None)
+        pair = (find, waiter)
+        self._waiters.append(pair)
+        timeout = self._reactor.callLater(timeout_s, waiter.callback, None)
         await waiter
-        if later.active():
-            later.cancel()
-        if row in self._waiters:
-            self._waiters.remove(row)
+        if timeout.active():
+            timeout.cancel()
+        if pair in self._waiters:
+            self._waiters.remove(pair)
         return find()
 
     def record_peer_offset(self, peer: str, offset: int) -> None:
-        """Note a peer's offset; pull its state if the log does not lead."""
+        """Record a peer's offset; pull its state if the log falls behind."""
         if offset <= self.state.offset:
             return
-        if self.log_age_s() > LOG_FRESH_S:
+        if self.log_age_s() > LOG_TIMEOUT_S:
             self._pull_if_behind(peer, offset)
         elif self._peer_lead_s is not None:
             self._reactor.callLater(
@@ -225,7 +222,7 @@
             defer.ensureDeferred(self._pull(peer))
 
     async def answer(self, have_offset: int) -> ttypes.StateReply:
-        """Answer a peer that asks for the state."""
+        """Answer a peer's request for the state."""
         state = self.state
         if have_offset >= state.offset:
             return ttypes.StateReply(offset=state.offset, digest="", state=b"")
@@ -237,32 +234,31 @@
         )
 
     async def _dump(self, state: states.State) -> str:
-        """Dump a state; the newest dump is kept, as many may ask."""
-        if self._dumped[0] != state.offset:
+        """Return the dump of a state, cached for the newest one."""
+        if self._cached_dump[0] != state.offset:
             text = await slices.run(self._reactor, states.dump_slices(state))
-            self._dumped = (state.offset, text)
-        return self._dumped[1]
+            self._cached_dump = (state.offset, text)
+        return self._cached_dump[1]
 
     async def _read(self) -> None:
-        # While the log fails, reads that wait would only notice late that it
-        # is back.
-        waits = self.ready and not self._failing
-        wait_s = self._poll_s() if waits else 0.0
+        # While the log fails, reads do not wait, to detect its recovery soon.
+        may_wait = self.ready and not self._failing
+        wait_s = self._poll_s() if may_wait else 0.0
         got = await self._platform.read(self.state.offset + 1, wait_s=wait_s)
         self._log_at = self._clock.monotonic()
-        self._down_said = False
+        self._outage_logged = False
         if got.oldest > self.state.offset + 1:
             await self._jump(got)
             return
-        self._take(fold.fold(self.state, got.rows))
-        self._note_snapshots(got.rows)
+        self._apply(fold.fold(self.state, got.rows))
+        self._record_snapshots(got.rows)
         if self.state.offset + 1 >= got.head:
             self.ready = True
             self.gap = False
         await self._maybe_snapshot(got.oldest)
 
     async def _jump(self, got: base.Rows) -> None:
-        """Get over records that the log no longer keeps."""
+        """Skip records that the log has dropped, by a snapshot."""
         rows: list[tuple[int, Any]] = []
         at = got.oldest
         while at < got.head:
@@ -271,24 +267,24 @@
                 break
             rows += more.rows
             at = more.rows[-1][0] + 1
-        whole = await slices.run(self._reactor, snapshot.newest_slices(rows))
-        usable = whole is not None and whole.offset + 1 >= got.oldest
-        if not usable or whole.offset <= self.state.offset:
+        newest = await slices.run(self._reactor, snapshot.newest_slices(rows))
+        usable = newest is not None and newest.offset + 1 >= got.oldest
+        if not usable or newest.offset <= self.state.offset:
             self.gap = True
             LOG.error(
                 "The log has dropped records that no snapshot covers.",
                 have=self.state.offset,
                 oldest=got.oldest,
             )
-            await self._ask_peers(None)
+            await self._query_peers(None)
             await self._pause(1.0)
             return
         self.gap = False
-        self._take(fold.fold(whole, rows))
-        self._note_snapshots(rows)
+        self._apply(fold.fold(newest, rows))
+        self._record_snapshots(rows)
 
-    def _take(self, new: states.State) -> None:
-        """Bring a state into force, if it is newer."""
+    def _apply(self, new: states.State) -> None:
+        """Apply a state if it is newer."""
         if new.offset <= self.state.offset:
             return
         self.state = new
@@ -297,34 +293,34 @@
             if self.seen_by_lease.get(name, (0, 0.0))[0] != lease.offset:
                 self.seen_by_lease[name] = (lease.offset, now)
         for listener in self._listeners:
-            self._tell(listener, new)
+            self._notify(listener, new)
         for find, waiter in list(self._waiters):
             if find() is not None and not waiter.called:
                 waiter.callback(None)
 
-    def _tell(
+    def _notify(
         self, listener: Callable[[states.State], None], new: states.State
     ) -> None:
-        """Tell one part of a state; its fault must not cost the others it."""
+        """Notify one listener; its failure must not affect the others."""
         try:
             listener(new)
         except Exception:
             LOG.error(
-                "A part did not take a configuration.",
+                "A component failed to apply a configuration.",
                 offset=new.offset,
                 reason=failure.Failure().getTraceback(),
             )
 
-    def _note_snapshots(self, rows: list[tuple[int, Any]]) -> None:
+    def _record_snapshots(self, rows: list[tuple[int, Any]]) -> None:
         for offset, data in rows:
             if isinstance(data, dict) and data.get("kind") == "snapshot":
                 self._last_snapshot = offset
 
     async def _maybe_snapshot(self, oldest: int) -> None:
-        """Write a snapshot when the last one has grown old.
+        """Write a snapshot once enough records follow the last one.
 
-        Any process may; a random wait lets one go first, and two equal
-        snapshots do no harm.
+        Every process may write it; a random delay makes duplicates rare, and
+        they are harmless.
         """
         since = self.state.offset - max(self._last_snapshot, oldest - 1)
         if since < self._snapshot_every:
@@ -332,8 +328,8 @@
         seen = self._last_snapshot
         await self._pause(random.random() * 2)
         got = await self._platform.read(self.state.offset + 1, wait_s=0)
-        self._take(fold.fold(self.state, got.rows))
-        self._note_snapshots(got.rows)
+        self._apply(fold.fold(self.state, got.rows))
+        self._record_snapshots(got.rows)
         if self._last_snapshot != seen:
             return
         state = self.state
@@ -342,27 +338,27 @@
             await self._platform.append([part])
         LOG.info("Wrote a snapshot.", offset=state.offset)
 
-    async def _ask_peers(self, down: error.CodedError | None) -> None:
-        """Ask a few peers; ready once any has answered with a state."""
-        heard = False
+    async def _query_peers(self, down: error.CodedError | None) -> None:
+        """Query a few peers; become ready once any of them has a state."""
+        answered = False
         known = sorted(self.peers)
-        self._asking = True
+        self._querying = True
         try:
-            for peer in random.sample(known, min(len(known), PEERS_ASKED)):
-                heard = await self._pull(peer) or heard
+            for peer in random.sample(known, min(len(known), PEERS_QUERIED)):
+                answered = await self._pull(peer) or answered
         finally:
-            self._asking = False
-        self.ready = self.ready or heard
-        if down is not None and self.ready and not self._down_said:
-            self._down_said = True
+            self._querying = False
+        self.ready = self.ready or answered
+        if down is not None and self.ready and not self._outage_logged:
+            self._outage_logged = True
             LOG.warning(
-                "The log cannot be asked; serving on what is in force.",
+                "The log is unavailable; serving the known configuration.",
                 offset=self.state.offset,
                 reason=down.detail,
             )
 
     async def _pull(self, peer: str) -> bool:
-        """Take a peer's state if it is newer; tell whether it has one."""
+        """Adopt a peer's state if newer; return whether the peer has one."""
         self._pulling = True
         try:
             reply = await self._links.to(peer).call(
@@ -375,18 +371,20 @@
         finally:
             self._pulling = False
         if reply.state:
-            return await self._take_peers(peer, reply)
+            return await self._adopt_state_of(peer, reply)
         return reply.offset >= 0
 
-    async def _take_peers(self, peer: str, reply: ttypes.StateReply) -> bool:
+    async def _adopt_state_of(
+        self, peer: str, reply: ttypes.StateReply
+    ) -> bool:
         text = reply.state.decode()
         if states.digest(text) != reply.digest:
-            LOG.error("A peer sent a damaged state.", peer=peer)
+            LOG.error("Digest mismatch in the state of a peer.", peer=peer)
             return False
         loading = states.load_slices(text)
-        self._take(await slices.run(self._reactor, loading))
+        self._apply(await slices.run(self._reactor, loading))
         LOG.info(
-            "Took the state of a peer.", peer=peer, offset=self.state.offset
+            "Adopted the state of a peer.", peer=peer, offset=self.state.offset
         )
         return True
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/intents.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/intents.py
@@ -1,4 +1,4 @@
-"""Makes plans of operators' intents and has them confirmed by the log."""
+"""Turns operators' intents into plans and confirms plans by the log."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -15,12 +15,12 @@
 from . import config, membership
 
 LOG = logs.Logger("intents")
-# An operator's answer waits this long for the log to be read back.
+# Seconds for which an operator's request waits for its record to be read back.
 SETTLE_S = 5.0
 
 
 class Intents:
-    """The operators' side of one entry."""
+    """Handles operators' intents at one entry."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self._membership = membership
 
     async def make_plan(self, intent: Any, author: str) -> plan.Plan:
-        """Make a plan and put it into the log; nothing changes yet.
+        """Make a plan and append it to the log, without applying it.
 
         Raises:
-          CodedError: The intent is wrong, or the log is down.
+          CodedError: The intent is invalid, or the log is unavailable.
         """
-        self._must_be_ready("plan")
+        self._require_ready("plan")
         rebalanced = await self._rebalance(intent)
         made = plan.make(
             self._config.state,
@@ -55,16 +55,16 @@
         return made
 
     async def confirm(self, plan_id: str, author: str) -> states.Verdict:
-        """Confirm a plan; repeats are harmless.
+        """Confirm a plan; idempotent.
 
         Returns:
           The verdict, read back from the log.
 
         Raises:
           CodedError: "log-down" or "unsettled", both with the outcome
-            unknown: ask again with the same id; or "unknown-plan".
+            unknown: retry with the same id; or "unknown-plan".
         """
-        self._must_be_ready("confirm")
+        self._require_ready("confirm")
         state = self._config.state
         if plan_id in state.verdicts_by_id:
             return state.verdicts_by_id[plan_id]
@@ -79,7 +79,7 @@
         item = record.ConfirmRecord(plan=plan_id)
         verdict = await self._append(item, plan_id, step="confirm")
         LOG.info(
-            "A plan was judged.",
+            "Decided on a plan.",
             plan=plan_id,
             accepted=verdict.accepted,
             offset=verdict.offset,
@@ -88,19 +88,19 @@
         return verdict
 
     async def _rebalance(self, intent: Any) -> dict[str, plan.Rebalanced]:
-        """Choose layouts for the groups that an intent rebalances."""
+        """Return new layouts for the groups that an intent rebalances."""
         groups = plan.groups_to_rebalance(self._config.state, intent)
         if not groups:
             return {}
         await self._membership.refresh(request_expert_load=True)
         loads = self.loads_by_group()
-        found = {}
+        rebalanced = {}
         for group in groups:
             steps = plan.rebalance(group, loads.get(group.name, ()))
             made = await slices.run(self._reactor, steps)
             if made is not None:
-                found[group.name] = made
-        return found
+                rebalanced[group.name] = made
+        return rebalanced
 
     def loads_by_group(self) -> dict[str, Sequence[Sequence[float]]]:
         """Return recent tokens by group, layer and expert."""
@@ -126,7 +126,7 @@
     ) -> states.Verdict | None:
         """Append a record and wait until it is read back.
 
-        An append whose answer was lost is settled by reading on.
+        The outcome of an append whose answer was lost is read from the log.
         """
         lost = None
         try:
@@ -135,11 +135,11 @@
             lost = down
         wait_s = 1.0 if lost else SETTLE_S
         if step == "plan":
-            found = await self._config.planned(plan_id, wait_s)
+            result = await self._config.planned(plan_id, wait_s)
         else:
-            found = await self._config.settled(plan_id, wait_s)
-        if found is not None:
-            return found
+            result = await self._config.settled(plan_id, wait_s)
+        if result is not None:
+            return result
         raise error.CodedError(
             "log-down" if lost else "unsettled",
             step=step,
@@ -150,7 +150,7 @@
             outcome=error.OUTCOME_UNKNOWN,
         )
 
-    def _must_be_ready(self, step: str) -> None:
+    def _require_ready(self, step: str) -> None:
         if not self._config.ready:
             raise error.CodedError(
                 "not-ready", step=step, status=503, retry_after_s=1
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/keys.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/keys.py
@@ -17,20 +17,20 @@
 
 LOG = logs.Logger("keys")
 ASK_TIMEOUT_S = 1.0
-CLEAR_EVERY_S = 1.0
-# Answers up to this size are kept, and given again for a repeated key.
-KEPT_ANSWER_BYTES = 4096
+RELEASE_INTERVAL_S = 1.0
+# Larger answers are not stored for repeated keys.
+MAX_STORED_BYTES = 4096
 
 
-class Kept(NamedTuple):
-    """The answer that a key got."""
+class StoredAnswer(NamedTuple):
+    """The stored answer of a key."""
 
     head: upstreams.Head
     body: bytes
 
 
 class Keys:
-    """The agent's memory of keys, and its talks with earlier homes."""
+    """The agent's table of keys, and its queries of previous owners."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         name: str,
     ) -> None:
         self.table = idempotency.Table(name=name, since=clock.wall())
-        self.kept_by_key: dict[str, Kept] = {}
+        self.answers_by_key: dict[str, StoredAnswer] = {}
         self._clock = clock
         self._config = config
         self._links = links
@@ -51,24 +51,24 @@
             reactor=reactor,
             clock=clock,
             name="once keys",
-            function=self._clear_moved,
+            function=self._record_released,
         )
 
     def start(self) -> None:
-        """Begin to ask earlier homes whether they have moved on."""
-        self._timer.start(CLEAR_EVERY_S)
+        """Start asking previous owners whether they have released keys."""
+        self._timer.start(RELEASE_INTERVAL_S)
 
     @property
     def progress(self) -> follower.Progress:
-        """Return how the asking gets on."""
+        """Return the progress of the queries."""
         return self._timer.progress
 
     def stop(self) -> None:
-        """Ask no longer."""
+        """Stop the queries."""
         self._timer.stop()
 
     async def decide(self, request: ttypes.Submit) -> idempotency.Decision:
-        """Decide on a key; Run means that it is now remembered."""
+        """Decide on a key; Run means that the key is now recorded."""
         key, attempt = request.once_key, request.attempt
         first = self.table.start(
             key,
@@ -81,9 +81,9 @@
         replies = await defer.gatherResults(
             [
                 defer.ensureDeferred(
-                    self._ask(home, request.target, key, first.offset)
+                    self._query(owner, request.target, key, first.offset)
                 )
-                for home in first.owners
+                for owner in first.owners
             ]
         )
         return self.table.resolve(
@@ -95,7 +95,7 @@
         )
 
     def answer(self, request: ttypes.KeyRequest) -> ttypes.KeyReply:
-        """Answer a later home that asks about a key."""
+        """Answer a query of a later owner about a key."""
         reply = self.table.answer(
             request.key,
             offset=self._config.state.offset,
@@ -108,59 +108,63 @@
         )
 
     def ended(self, stream: streams.Stream) -> None:
-        """Keep a short answer; forget a key that was proved not to run."""
+        """Store a short answer; release a key that was proved not to run."""
         request = stream.request
-        if not request.once_key or stream.kept is None:
+        if not request.once_key or stream.body_chunks is None:
             return
         if stream.not_run:
             self.table.release(request.once_key, request.attempt)
             return
-        body = b"".join(stream.kept)
-        if not stream.code and len(body) <= KEPT_ANSWER_BYTES and stream.head:
-            self.kept_by_key[request.once_key] = Kept(stream.head, body)
+        body = b"".join(stream.body_chunks)
+        if not stream.code and len(body) <= MAX_STORED_BYTES and stream.head:
+            self.answers_by_key[request.once_key] = StoredAnswer(
+                stream.head, body
+            )
 
     def _memberships(self, target: str) -> tuple[states.Membership, ...]:
         return self._config.state.members_by_target.get(target, ())
 
-    async def _ask(
-        self, home: str, target: str, key: str, offset: int
+    async def _query(
+        self, owner: str, target: str, key: str, offset: int
     ) -> idempotency.Reply:
-        """Ask an earlier home; silence means that it has not moved on."""
-        silent = idempotency.Reply(known=False, released=False, since=0.0)
-        upstream = self._config.state.upstreams_by_name.get(home)
+        """Query a previous owner; no answer means it has not released keys."""
+        unanswered = idempotency.Reply(known=False, released=False, since=0.0)
+        upstream = self._config.state.upstreams_by_name.get(owner)
         if upstream is None:
-            return silent
+            return unanswered
         request = ttypes.KeyRequest(target=target, key=key, offset=offset)
         try:
-            got = await self._links.to(upstream.agent).call(
+            reply = await self._links.to(upstream.agent).call(
                 "key", request, timeout_s=ASK_TIMEOUT_S
             )
         except link.LinkError:
-            return silent
-        return idempotency.Reply(got.known, got.released, got.since_ms / 1000)
+            return unanswered
+        return idempotency.Reply(
+            reply.known, reply.released, reply.since_ms / 1000
+        )
 
-    async def _clear_moved(self) -> None:
-        """Ask earlier homes once each whether they have moved on."""
+    async def _record_released(self) -> None:
+        """Ask each previous owner whether it has released its keys."""
         state = self._config.state
-        self._forget_answers()
-        mine = state.upstreams_by_name.get(self._name)
-        if mine is None:
+        self._drop_expired_answers()
+        local = state.upstreams_by_name.get(self._name)
+        if local is None:
             return
-        rows = state.members_by_target.get(mine.target, ())
-        for home in _earlier(rows):
+        rows = state.members_by_target.get(local.target, ())
+        for owner in _previous_members(rows):
             offset = rows[-1].offset
-            if home == self._name or self.table.is_released(offset, home):
+            if owner == self._name or self.table.is_released(offset, owner):
                 continue
-            reply = await self._ask(home, mine.target, "", offset)
+            reply = await self._query(owner, local.target, "", offset)
             if reply.released:
-                self.table.record_released(offset, home, self._clock.wall())
+                self.table.record_released(offset, owner, self._clock.wall())
 
-    def _forget_answers(self) -> None:
-        for key in list(self.kept_by_key):
+    def _drop_expired_answers(self) -> None:
+        for key in list(self.answers_by_key):
             if key not in self.table:
-                del self.kept_by_key[key]
+                del self.answers_by_key[key]
 
 
-def _earlier(rows: tuple[states.Membership, ...]) -> list[str]:
-    """Return everyone who was a member before the newest membership."""
+def _previous_members(rows: tuple[states.Membership, ...]) -> list[str]:
+    """Return the members of all memberships before the newest one."""
     return sorted({name for row in rows[:-1] for name in row.members})
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/streams.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/streams.py
@@ -1,8 +1,8 @@
 """The attempts that an agent runs, and the gate that admits them.
 
-The agent holds the chunks of an answer until the entry has pulled them;
-when its buffer is full the upstream is paused, so a caller that reads
-slowly costs a bounded amount of memory.
+The agent buffers the chunks of an answer until the entry has pulled them, and
+pauses the upstream while the buffer is full, which bounds the memory used for
+a slow caller.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -18,26 +18,26 @@
 from ..adapters import upstream as upstreams
 
 LOG = logs.Logger("streams")
-# A pull waits this long for something to give.
+# Seconds for which a pull waits for data.
 PULL_WAIT_S = 10.0
-# An attempt that nobody pulls for this long, in seconds, has lost its entry;
-# more than PULL_WAIT_S, for which a pull may stand.
+# Seconds without a pull after which an attempt is orphaned; must exceed
+# PULL_WAIT_S.
 ORPHAN_S = 15.0
-# An attempt whose entry was given its end is kept this long, in seconds, in
-# case that was lost: an entry asks again for 2 s (RELINK_S of attempt.py).
-GIVEN_S = 5.0
-# A stop waits this long, in seconds, for an entry to ask again for an end that
-# was lost with its connection; it does after 0.1 s (RELINK_PAUSE_S there).
-LOST_END_S = 1.0
+# Seconds for which a delivered attempt is kept, in case its last batch was
+# lost; must exceed the retries of an entry (RELINK_S of attempt.py).
+DELIVERED_RETENTION_S = 5.0
+# Seconds for which a stop waits for an entry to retry a lost last batch; must
+# exceed its pause between retries (RELINK_PAUSE_S of attempt.py).
+FINAL_RETRY_S = 1.0
 BUSY_RETRY_MS = 200
 
 
 class Stream:
-    """One attempt, until its entry has all of it.
+    """One attempt, until its entry has received the complete answer.
 
     Attributes:
-      pulled_at: When its entry was last heard, or given something.
-      released: Whether its entry has been given its end, or wants no more.
+      pulled_at: Monotonic seconds of the last pull or delivery.
+      released: Whether its last batch was sent, or it was cancelled.
     """
 
     def __init__(
@@ -52,32 +52,32 @@
         self.pulled_at = now
         self.ended_at: float | None = None
         self.released = False
-        self.kept: list[bytes] | None = None
+        self.body_chunks: list[bytes] | None = None
         self._pull: tuple[defer.Deferred, ttypes.Pull] | None = None
 
     @property
     def ended(self) -> bool:
-        """Whether the upstream has given all that it will give."""
+        """Whether the upstream's answer has ended."""
         return self.ended_at is not None
 
     def acknowledge(self, from_seq: int) -> None:
-        """Drop what has arrived; let the upstream go on if there is room.
+        """Drop acknowledged chunks; resume the upstream if there is capacity.
 
         Raises:
-          IndexError: As of the outbox.
+          IndexError: The outbox no longer has those chunks.
         """
         self.outbox.acknowledge(from_seq)
         if self.exchange is not None and not self.outbox.full:
             self.exchange.resume()
 
     def ready(self, from_seq: int) -> bool:
-        """Tell whether a pull would be given anything."""
+        """Return whether a pull can be answered now."""
         return self.ended or self.outbox.count > from_seq
 
     def wait(self, pull: ttypes.Pull) -> defer.Deferred:
-        """Return a Deferred that fires when there is something to give.
+        """Return a Deferred that fires when the pull can be answered.
 
-        An older pull of the same attempt is answered at once: its
+        A pending pull of the same attempt is answered at once, as its
         connection has broken.
         """
         self.wake()
@@ -86,7 +86,7 @@
         return waiter
 
     def wake(self) -> None:
-        """Answer the pull that waits, if any."""
+        """Answer the pending pull, if any."""
         if self._pull is not None:
             waiter, _ = self._pull
             self._pull = None
@@ -118,13 +118,13 @@
         self._buffer_bytes = buffer_bytes
         self._incarnation = incarnation
 
-    def judge(self, request: ttypes.Submit) -> gate.Decision:
-        """Ask the gate about an attempt."""
+    def decide(self, request: ttypes.Submit) -> gate.Decision:
+        """Return the gate's decision on an attempt."""
         now = self._clock.monotonic()
         return self.gate.submit(request.attempt, request.entry, now)
 
-    def verdict(self, code: str, *, unknown: bool = False) -> ttypes.Verdict:
-        """Return a refusal for the entry."""
+    def refusal(self, code: str, *, unknown: bool = False) -> ttypes.Verdict:
+        """Return a refusal to send to the entry."""
         self._metrics.refused.inc({"code": code})
         kind = ttypes.VerdictKind.REFUSED
         if unknown:
@@ -137,8 +137,8 @@
             incarnation=self._incarnation,
         )
 
-    def admitted(self) -> ttypes.Verdict:
-        """Return an admission for the entry."""
+    def admission(self) -> ttypes.Verdict:
+        """Return an admission to send to the entry."""
         return ttypes.Verdict(
             kind=ttypes.VerdictKind.ADMITTED,
             code="",
@@ -148,9 +148,9 @@
         )
 
     def refuse(self, attempt: str, code: str) -> ttypes.Verdict:
-        """Refuse an attempt that the gate had let in."""
+        """Refuse an attempt that the gate has admitted."""
         self.gate.refuse(attempt, self._clock.monotonic(), code)
-        return self.verdict(code)
+        return self.refusal(code)
 
     def start(self, request: ttypes.Submit) -> Stream:
         """Send an admitted attempt to the upstream."""
@@ -160,7 +160,7 @@
             now=self._clock.monotonic(),
         )
         self.by_attempt[request.attempt] = stream
-        stream.kept = [] if request.once_key else None
+        stream.body_chunks = [] if request.once_key else None
         headers = [(row.name, row.value) for row in request.headers]
         headers.append(("X-Request-Id", request.attempt))
         headers.append(("X-Workspace", request.workspace))
@@ -179,7 +179,7 @@
     def replay(
         self, request: ttypes.Submit, head: upstreams.Head, body: bytes
     ) -> None:
-        """Give a remembered answer to a repeated request."""
+        """Answer a repeated request with a stored answer."""
         stream = Stream(
             request=request,
             limit_bytes=self._buffer_bytes,
@@ -192,68 +192,70 @@
         self._end(stream, "", False)
 
     async def pull(self, pull: ttypes.Pull) -> ttypes.Batch:
-        """Give an entry the next chunks of an attempt."""
+        """Return the next chunks of an attempt."""
         stream = self.by_attempt.get(pull.attempt)
         if stream is None:
-            return self._failed(pull, "unknown-attempt", not_run=False)
+            return self._failed_batch(pull, "unknown-attempt", not_run=False)
         stream.pulled_at = self._clock.monotonic()
         try:
-            # Before the wait: a full outbox holds back what it waits for.
+            # Must precede the wait: a full outbox keeps the upstream paused.
             stream.acknowledge(pull.from_seq)
             if not stream.ready(pull.from_seq):
-                await self._something(stream, pull)
-            return self._give(stream, pull)
+                await self._wait_ready(stream, pull)
+            return self._next_batch(stream, pull)
         except IndexError:
-            return self._failed(pull, "chunks-gone", not_run=False)
+            return self._failed_batch(pull, "chunks-gone", not_run=False)
 
-    async def _something(self, stream: Stream, pull: ttypes.Pull) -> None:
-        """Wait until a pull would be given something, for so long."""
+    async def _wait_ready(self, stream: Stream, pull: ttypes.Pull) -> None:
+        """Wait until a pull can be answered, for at most PULL_WAIT_S."""
         waiter = stream.wait(pull)
-        later = self._reactor.callLater(PULL_WAIT_S, stream.wake)
+        timeout = self._reactor.callLater(PULL_WAIT_S, stream.wake)
         await waiter
-        if later.active():
-            later.cancel()
+        if timeout.active():
+            timeout.cancel()
 
     def cancel(self, attempt: str) -> ttypes.Verdict:
-        """Kill an attempt; refused means it is proved not to run."""
+        """Cancel an attempt; a refusal proves that it does not run."""
         stream = self.by_attempt.get(attempt)
         if stream is not None:
             stream.released = True
-            self._give_up(stream)
-            return self.verdict("started", unknown=True)
+            self._abort(stream)
+            return self.refusal("started", unknown=True)
         if self.gate.cancel(attempt, self._clock.monotonic()):
-            return self.verdict("cancelled")
-        return self.verdict("started", unknown=True)
+            return self.refusal("cancelled")
+        return self.refusal("started", unknown=True)
 
     def sweep(self) -> None:
-        """Forget attempts that ended, and give up those without entry.
+        """Drop delivered attempts and abort orphaned ones.
 
-        One that ended is not over while its entry, whose caller may read
-        slowly, has yet to fetch the rest.
+        An attempt that has ended is kept while its entry, whose caller may
+        read slowly, has yet to pull the rest.
         """
         now = self._clock.monotonic()
         for attempt, stream in list(self.by_attempt.items()):
-            silent_s = now - stream.pulled_at
+            idle_s = now - stream.pulled_at
             if not stream.ended:
-                if silent_s > ORPHAN_S:
-                    self._give_up(stream)
-            elif silent_s > (GIVEN_S if stream.released else ORPHAN_S):
+                if idle_s > ORPHAN_S:
+                    self._abort(stream)
+            elif idle_s > (
+                DELIVERED_RETENTION_S if stream.released else ORPHAN_S
+            ):
                 del self.by_attempt[attempt]
 
     def unfetched(self) -> bool:
-        """Tell whether a stop has to wait for an entry to fetch an answer."""
+        """Return whether a stop has to wait for an entry to pull an answer."""
         now = self._clock.monotonic()
         return any(
             now - stream.pulled_at
-            < (LOST_END_S if stream.released else ORPHAN_S)
+            < (FINAL_RETRY_S if stream.released else ORPHAN_S)
             for stream in self.by_attempt.values()
         )
 
-    def _give_up(self, stream: Stream) -> None:
-        """Stop an attempt that nobody waits for any more.
+    def _abort(self, stream: Stream) -> None:
+        """Stop an attempt that no entry waits for.
 
-        A request that runs at most once goes on: stopping it midway would
-        leave its key without an answer.
+        An at-most-once request continues, as stopping it would leave its key
+        without an answer.
         """
         if stream.exchange is not None and not stream.request.once_key:
             stream.exchange.stop()
@@ -265,8 +267,8 @@
 
         def chunk(data: bytes) -> None:
             stream.outbox.put(data)
-            if stream.kept is not None:
-                stream.kept.append(data)
+            if stream.body_chunks is not None:
+                stream.body_chunks.append(data)
             if stream.outbox.full and stream.exchange is not None:
                 stream.exchange.pause()
             stream.wake()
@@ -277,13 +279,13 @@
         return upstreams.Sink(head, chunk, end)
 
     def _back_off(self, head: upstreams.Head) -> None:
-        """Leave the upstream alone for as long as its answer asks."""
+        """Apply the backoff requested by an answer."""
         seconds = head.backoff_s
         if seconds is None:
             return
         self.gate.back_off(self._clock.monotonic() + seconds)
         LOG.info(
-            "The upstream wants no requests for a while.",
+            "The upstream requested a backoff.",
             status=head.status,
             seconds=seconds,
         )
@@ -303,17 +305,17 @@
             self.gate.finish(attempt, now)
         for listener in self.on_end:
             listener(stream)
-        # Only the listeners need the body beside the outbox.
-        stream.kept = None
+        # Only the listeners need the body after the end.
+        stream.body_chunks = None
         stream.wake()
 
-    def _give(self, stream: Stream, pull: ttypes.Pull) -> ttypes.Batch:
-        """Answer a pull, and note what its entry then has."""
+    def _next_batch(self, stream: Stream, pull: ttypes.Pull) -> ttypes.Batch:
+        """Return the batch for a pull, and record its delivery."""
         batch = self._batch(stream, pull)
         if batch.done:
             stream.released = True
         if batch.done or batch.chunks:
-            # An entry that waited for this has not been silent meanwhile.
+            # An entry that waited for this batch was not idle meanwhile.
             stream.pulled_at = self._clock.monotonic()
         return batch
 
@@ -322,14 +324,14 @@
         last = pull.from_seq + len(chunks) == stream.outbox.count
         done = stream.ended and last
         head = stream.head or upstreams.Head(0, ())
-        whole = done and not stream.code
+        complete = done and not stream.code
         return ttypes.Batch(
             attempt=pull.attempt,
             from_seq=pull.from_seq,
             chunks=chunks,
             done=done,
             count=stream.outbox.count if done else 0,
-            digest=stream.outbox.digest() if whole else "",
+            digest=stream.outbox.digest() if complete else "",
             status=head.status,
             headers=_wire_headers(head) if pull.from_seq == 0 else [],
             code=stream.code if done else "",
@@ -338,7 +340,7 @@
             ran=_ran(stream),
         )
 
-    def _failed(
+    def _failed_batch(
         self, pull: ttypes.Pull, code: str, *, not_run: bool
     ) -> ttypes.Batch:
         kinds = ttypes.VerdictKind
--- a/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspension.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/controllers/suspension.py
@@ -1,4 +1,4 @@
-"""Notices that the machine was suspended, so that nothing stale is trusted."""
+"""Detects suspensions of the machine, after which cached state is stale."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -12,16 +12,16 @@
 from . import follower
 
 LOG = logs.Logger("suspension")
-# The clocks are read this often, in seconds.  A loop that waits for a timer
-# is not woken by the end of a suspension, and this is how late it may be.
-LOOK_EVERY_S = 0.25
+# Interval in seconds between checks, which bounds the delay of the detection:
+# the end of a suspension does not wake a reactor that waits for a timer.
+CHECK_INTERVAL_S = 0.25
 
 
 class Watch:
-    """Reads the clocks, and tells a suspension once it is over.
+    """Compares clocks periodically and reports suspensions.
 
     Attributes:
-      progress: How the looking gets on.
+      progress: The progress of the checks.
     """
 
     def __init__(
@@ -32,14 +32,14 @@
         metrics: metrics.Metrics,
         on_suspended: Callable[[float], dict[str, Any]],
     ) -> None:
-        """Make it; start() begins to look.
+        """Initialize; start() begins the checks.
 
         Args:
-          reactor: The loop.
-          clock: The time.
+          reactor: The reactor.
+          clock: The clock.
           metrics: Counts the suspensions.
-          on_suspended: Called with the seconds that it took; drops what is
-            no longer to be believed, and returns what it was, for the log.
+          on_suspended: Called with the duration in seconds; drops stale state
+            and returns what it dropped, as fields of the log line.
         """
         self._clock = clock
         self._metrics = metrics
@@ -49,20 +49,20 @@
             reactor=reactor,
             clock=clock,
             name="suspension",
-            function=self.look,
+            function=self.check,
         )
         self.progress = self._loop.progress
 
     def start(self) -> None:
-        """Look from now on."""
-        self._loop.start(LOOK_EVERY_S)
+        """Start the checks."""
+        self._loop.start(CHECK_INTERVAL_S)
 
     def stop(self) -> None:
-        """Look no longer."""
+        """Stop the checks."""
         self._loop.stop()
 
-    def look(self) -> None:
-        """Read the clocks; tell a suspension that has ended."""
+    def check(self) -> None:
+        """Compare the clocks, and report a suspension that has ended."""
         now = suspension.read(self._clock)
         seconds = suspension.suspended_s(self._last, now)
         self._last = now
@@ -71,7 +71,7 @@
         self._metrics.suspensions.inc({})
         dropped = self._on_suspended(seconds)
         LOG.warning(
-            "The machine was suspended; what was believed is looked up anew.",
+            "The machine was suspended; dropped cached state.",
             seconds=round(seconds, 3),
             **dropped,
         )
--- a/packages/reelscale-daemon/src/reelscale_daemon/front.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/front.py
@@ -308,7 +308,7 @@
     def _doubt(self, _seconds: float) -> dict[str, Any]:
         """Drop what may no longer hold after a suspension; tell what."""
         idle = self._connections.close_all_idle()
-        self._base.config.doubt()
+        self._base.config.require_confirmation()
         self._usage.changed()
         return {"idle_connections": idle, "requests": self._parts.running}
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/operators.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/operators.py
@@ -142,7 +142,7 @@
         return {
             "offset": self._config.state.offset,
             "ready": self._config.ready,
-            "log_age_s": round(self._config.shown_log_age_s(), 3),
+            "log_age_s": round(self._config.reported_log_age_s(), 3),
             "offsets_by_process": offsets,
             "in_force_everywhere": min(offsets.values()),
             "upstreams": layouts,
--- a/packages/reelscale-daemon/src/reelscale_daemon/process.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/process.py
@@ -258,7 +258,7 @@
     def set_gauges(self, metrics: metrics.Metrics) -> None:
         """Set the gauges of the configuration before a scrape."""
         metrics.offset.set({}, self.config.state.offset)
-        metrics.log_age.set({}, self.config.shown_log_age_s())
+        metrics.log_age.set({}, self.config.reported_log_age_s())
 
 
 def make_site(root: Any, request_class: Any = None) -> site.Site:
