--- a/features/circuit.feature
+++ b/features/circuit.feature
@@ -1,13 +1,11 @@
-Feature: An upstream is left alone for what it did, not for how much was on it
+Feature: The circuit breaker counts a burst of failures as one event
 
-  Requests that are lost together are one event.  The circuit doubled its open
-  time with each of them: an upstream that crashed with ten requests on it
-  was left alone for 30 s, though it was back within two.
+  Requests that fail together must not double the open interval one by one.
 
-  Scenario Outline: <count> requests are lost together
+  Scenario Outline: <count> requests fail together
     Given an upstream with <count> requests in progress
-    When all of them are lost at once
-    Then it is asked again after 1 s
+    When all of them fail at once
+    Then the circuit allows a request after 1 s
 
     Examples:
       | count |
@@ -16,13 +14,13 @@
       | 10    |
       | 60    |
 
-  Scenario: Each trial that fails doubles the time
+  Scenario: Each failed probe doubles the open interval
     Given an upstream with 10 requests in progress
-    When all of them are lost at once
-    And 3 trials fail, each as soon as it may be sent
-    Then it is asked again after 8 s
+    When all of them fail at once
+    And 3 probes fail, each sent as soon as the circuit allows it
+    Then the circuit allows a request after 8 s
 
-  Scenario: What was sent before the circuit opened fails during a trial
+  Scenario: Requests sent before the circuit opened fail during a probe
     Given an upstream with 10 requests in progress
-    When 5 of them are lost, a trial is sent, the others are lost, it succeeds
-    Then it is asked again after 0 s
+    When 5 of them fail, a probe is sent, the others fail and the probe succeeds
+    Then the circuit allows a request after 0 s
--- a/features/models/chooser.py
+++ b/features/models/chooser.py
@@ -1,4 +1,4 @@
-"""Turns a list of numbers into choices, so that hypothesis can shrink it."""
+"""Maps a list of numbers to choices, so that hypothesis can shrink traces."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -10,21 +10,21 @@
 
 
 class Chooser:
-    """Gives choices from numbers; ends when they are used up."""
+    """Makes choices from a finite list of numbers."""
 
     def __init__(self, numbers: Sequence[int]) -> None:
         self._numbers = list(numbers)
-        self._at = 0
+        self._position = 0
 
     @property
     def over(self) -> bool:
-        """Whether all numbers are used up."""
-        return self._at >= len(self._numbers)
+        """Whether all numbers are used."""
+        return self._position >= len(self._numbers)
 
     def pick(self, items: Sequence[Item]) -> Item:
-        """Return one of some items; the first once numbers are used up."""
+        """Return one of the items; the first if all numbers are used."""
         if self.over:
             return items[0]
-        number = self._numbers[self._at]
-        self._at += 1
+        number = self._numbers[self._position]
+        self._position += 1
         return items[number % len(items)]
--- a/features/models/exchange.py
+++ b/features/models/exchange.py
@@ -1,7 +1,8 @@
-"""One entry and one agent over a network that loses, doubles and delays.
+"""Model of one entry and one agent over an unreliable network.
 
-The upstream's ledger is compared with what callers were told, and every
-answer with the text that the upstream gave for it.
+Messages may be lost, duplicated and delayed.  Outcomes reported to callers are
+checked against the upstream's ledger, and answers against the chunks that the
+upstream produced.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -16,12 +17,12 @@
 CHUNKS = 5
 
 
-class ToldWrongError(AssertionError):
-    """A caller was told not-run of a request that ran, or a wrong text."""
+class WrongOutcomeError(AssertionError):
+    """A request that ran was reported as not run, or an answer is wrong."""
 
 
 class Message(NamedTuple):
-    """Something on its way between the entry and the agent."""
+    """A message in transit between the entry and the agent."""
 
     kind: str
     attempt: str
@@ -42,19 +43,19 @@
 
 
 class NoTombstone(Rules):
-    """An agent that forgets what it refused."""
+    """An agent without tombstones."""
 
     tombstones = False
 
 
 class NoIncarnation(Rules):
-    """An entry that believes a restarted agent."""
+    """An entry that ignores the incarnation of the agent."""
 
     checks_incarnation = False
 
 
 class NoAssembly(Rules):
-    """An entry that takes chunks as they come."""
+    """An entry that ignores sequence numbers."""
 
     assembles = False
 
@@ -74,18 +75,18 @@
         self.rules = rules
         self.gate = gate.Gate(capacity=3)
         self.incarnation = 1
-        self.boxes: dict[str, answer.Outbox] = {}
+        self.outboxes: dict[str, answer.Outbox] = {}
         self.ledger: set[str] = set()
-        self.net: list[Message] = []
-        self.parts: dict[str, answer.Assembly] = {}
-        self.texts: dict[str, list[bytes]] = {}
+        self.network: list[Message] = []
+        self.assemblies: dict[str, answer.Assembly] = {}
+        self.chunks: dict[str, list[bytes]] = {}
         self.sent_to: dict[str, int] = {}
-        self.told: dict[str, str] = {}
+        self.outcomes: dict[str, str] = {}
         self.now = 0.0
         self.number = 0
 
     def act(self, chooser: Chooser) -> None:
-        """Let one thing happen."""
+        """Perform one random action."""
         actions = [
             *[self.send] * 3,
             *[self.deliver] * 12,
@@ -93,7 +94,7 @@
             *[self.pull] * 6,
             self.cancel,
             self.cancel,
-            self.double,
+            self.duplicate,
             self.drop,
             self.restart,
             self.leave,
@@ -105,106 +106,114 @@
         """Send a new attempt."""
         self.number += 1
         attempt = f"a{self.number}"
-        self.parts[attempt] = answer.Assembly(attempt=attempt)
-        self.texts[attempt] = []
+        self.assemblies[attempt] = answer.Assembly(attempt=attempt)
+        self.chunks[attempt] = []
         self.sent_to[attempt] = self.incarnation
-        self.net.append(Message("submit", attempt))
+        self.network.append(Message("submit", attempt))
 
     def pull(self, chooser: Chooser) -> None:
         """Pull the next chunks of an attempt."""
-        if self.parts:
-            attempt = chooser.pick(sorted(self.parts))
-            seq = self.parts[attempt].seq
-            self.net.append(Message("pull", attempt, seq))
+        if self.assemblies:
+            attempt = chooser.pick(sorted(self.assemblies))
+            seq = self.assemblies[attempt].seq
+            self.network.append(Message("pull", attempt, seq))
 
     def cancel(self, chooser: Chooser) -> None:
-        """Ask the agent to kill an attempt whose verdict is lost."""
-        if self.parts:
-            attempt = chooser.pick(sorted(self.parts))
-            self.net.append(Message("cancel", attempt))
+        """Ask the agent to cancel an attempt of unknown outcome."""
+        if self.assemblies:
+            attempt = chooser.pick(sorted(self.assemblies))
+            self.network.append(Message("cancel", attempt))
 
-    def double(self, chooser: Chooser) -> None:
-        """Let the network double a message."""
-        if self.net:
-            self.net.append(chooser.pick(self.net))
+    def duplicate(self, chooser: Chooser) -> None:
+        """Duplicate a message in transit."""
+        if self.network:
+            self.network.append(chooser.pick(self.network))
 
     def drop(self, chooser: Chooser) -> None:
-        """Let the network lose a message."""
-        if self.net:
-            self.net.remove(chooser.pick(self.net))
+        """Lose a message in transit."""
+        if self.network:
+            self.network.remove(chooser.pick(self.network))
 
     def restart(self, chooser: Chooser) -> None:
-        """Restart the agent with an empty memory.
+        """Restart the agent with empty memory.
 
-        What was on its way to it dies with its connections.
+        Messages in transit to it are lost with its connections.
         """
         self.gate = gate.Gate(capacity=3)
-        self.boxes = {}
+        self.outboxes = {}
         self.incarnation += 1
         kinds = ("submit", "pull", "cancel")
-        self.net = [item for item in self.net if item.kind not in kinds]
+        self.network = [
+            message for message in self.network if message.kind not in kinds
+        ]
 
     def leave(self, chooser: Chooser) -> None:
-        """Let the upstream leave or come back."""
+        """Start or end the departure of the upstream."""
         self.gate.leaving = chooser.pick([True, False])
 
     def work(self, chooser: Chooser) -> None:
-        """Let the upstream give one chunk of an attempt."""
-        open_boxes = [a for a, box in self.boxes.items() if not box.done]
-        if not open_boxes:
+        """Produce one chunk of an attempt."""
+        open_outboxes = [
+            a for a, outbox in self.outboxes.items() if not outbox.done
+        ]
+        if not open_outboxes:
             return
-        attempt = chooser.pick(sorted(open_boxes))
-        box = self.boxes[attempt]
-        box.put(_chunk(attempt, box.count))
-        if box.count == CHUNKS:
-            box.finish()
+        attempt = chooser.pick(sorted(open_outboxes))
+        outbox = self.outboxes[attempt]
+        outbox.put(_chunk(attempt, outbox.count))
+        if outbox.count == CHUNKS:
+            outbox.finish()
             self.gate.finish(attempt, self.now)
 
     def deliver(self, chooser: Chooser) -> None:
         """Deliver any message, in any order."""
-        if not self.net:
+        if not self.network:
             return
-        item = chooser.pick([*self.net[:1] * 2, *self.net])
-        self.net.remove(item)
-        match item.kind:
+        message = chooser.pick([*self.network[:1] * 2, *self.network])
+        self.network.remove(message)
+        match message.kind:
             case "submit":
-                self._submit(item)
+                self._submit(message)
             case "pull":
-                self._give(item)
+                self._pull_batch(message)
             case "cancel":
-                self._kill(item)
+                self._cancel(message)
             case "verdict":
-                self._hear(item)
+                self._apply_verdict(message)
             case "batch":
-                self._take(item)
+                self._apply_batch(message)
 
     def check(self) -> None:
-        """Compare what callers were told with what ran."""
-        for attempt, told in self.told.items():
-            if told == "not-run" and attempt in self.ledger:
-                raise ToldWrongError(f"{attempt} was told not-run, but ran")
-        for attempt, part in self.parts.items():
-            text = self.texts[attempt]
-            right = [_chunk(attempt, n) for n in range(len(text))]
-            if text != right or (part.complete and len(text) != CHUNKS):
-                raise ToldWrongError(f"{attempt} was given {text}")
-
-    def _submit(self, item: Message) -> None:
+        """Check the outcomes and answers against what ran."""
+        for attempt, outcome in self.outcomes.items():
+            if outcome == "not-run" and attempt in self.ledger:
+                raise WrongOutcomeError(
+                    f"{attempt} was reported as not run, but ran"
+                )
+        for attempt, assembly in self.assemblies.items():
+            chunks = self.chunks[attempt]
+            expected = [_chunk(attempt, n) for n in range(len(chunks))]
+            if chunks != expected or (
+                assembly.complete and len(chunks) != CHUNKS
+            ):
+                raise WrongOutcomeError(f"wrong answer of {attempt}: {chunks}")
+
+    def _submit(self, message: Message) -> None:
         if not self.rules.tombstones:
             self.gate._tombstones.clear()
-        judged = self.gate.submit(item.attempt, "e1", self.now)
-        if judged.admitted and not judged.repeated:
-            self.ledger.add(item.attempt)
-            self.boxes[item.attempt] = answer.Outbox(limit_bytes=100)
-        if not judged.admitted and judged.code != "cancelled":
-            self._verdict(item.attempt, not_run=True)
+        decision = self.gate.submit(message.attempt, "e1", self.now)
+        if decision.admitted and not decision.repeated:
+            self.ledger.add(message.attempt)
+            self.outboxes[message.attempt] = answer.Outbox(limit_bytes=100)
+        if not decision.admitted and decision.code != "cancelled":
+            self._verdict(message.attempt, not_run=True)
 
-    def _kill(self, item: Message) -> None:
-        not_run = self.gate.cancel(item.attempt, self.now)
-        self._verdict(item.attempt, not_run=not_run)
+    def _cancel(self, message: Message) -> None:
+        not_run = self.gate.cancel(message.attempt, self.now)
+        self._verdict(message.attempt, not_run=not_run)
 
     def _verdict(self, attempt: str, *, not_run: bool) -> None:
-        self.net.append(
+        self.network.append(
             Message(
                 "verdict",
                 attempt,
@@ -213,39 +222,39 @@
             )
         )
 
-    def _hear(self, item: Message) -> None:
-        same = item.incarnation == self.sent_to[item.attempt]
-        believed = same or not self.rules.checks_incarnation
-        if item.not_run and believed:
-            self.told[item.attempt] = "not-run"
+    def _apply_verdict(self, message: Message) -> None:
+        same = message.incarnation == self.sent_to[message.attempt]
+        accepted = same or not self.rules.checks_incarnation
+        if message.not_run and accepted:
+            self.outcomes[message.attempt] = "not-run"
 
-    def _give(self, item: Message) -> None:
-        box = self.boxes.get(item.attempt)
-        if box is None:
+    def _pull_batch(self, message: Message) -> None:
+        outbox = self.outboxes.get(message.attempt)
+        if outbox is None:
             return
         try:
-            chunks = tuple(box.read(item.seq, 8))
+            chunks = tuple(outbox.read(message.seq, 8))
         except IndexError:
             return
-        done = box.done and item.seq + len(chunks) == box.count
-        self.net.append(
+        done = outbox.done and message.seq + len(chunks) == outbox.count
+        self.network.append(
             Message(
                 "batch",
-                item.attempt,
-                item.seq,
+                message.attempt,
+                message.seq,
                 chunks,
-                box.count if done else None,
-                box.digest() if done else "",
+                outbox.count if done else None,
+                outbox.digest() if done else "",
             )
         )
 
-    def _take(self, item: Message) -> None:
-        part = self.parts[item.attempt]
-        fragment = answer.Fragment(*item[1:6])
-        new = part.add(fragment)
+    def _apply_batch(self, message: Message) -> None:
+        assembly = self.assemblies[message.attempt]
+        fragment = answer.Fragment(*message[1:6])
+        new = assembly.add(fragment)
         if not self.rules.assembles:
-            new = list(item.chunks)
-        self.texts[item.attempt] += new
+            new = list(message.chunks)
+        self.chunks[message.attempt] += new
 
 
 def _chunk(attempt: str, number: int) -> bytes:
--- a/features/models/rate_limits.py
+++ b/features/models/rate_limits.py
@@ -1,8 +1,7 @@
-"""Replays entries that share the limit of one upstream.
+"""Simulates entries that share the rate limit of one upstream.
 
-Real controllers of several entries, with their datagrams carried by hand:
-some are lost, halves of the entries are cut off from each other, entries
-restart, and each is asked for far more than its part.
+Runs the real controllers of several entries over simulated datagrams, with
+message loss, partitions, restarts and an offered load far above the limit.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -20,16 +19,16 @@
 
 START = "i-1"
 STEP_S = 0.1
-# The window of the promise, in seconds, and how late an entry may heed an
-# answer that it has passed on.
+# Window over which the limit is checked.
 WINDOW_S = 4.0
-HEEDED_S = 0.5
-SILENT_S = 1.6
-REMEMBERED_S = 60.0
+# Delay after a response within which an entry must apply its limit.
+APPLY_WITHIN_S = 0.5
+UNREACHABLE_AFTER_S = 1.6
+KNOWN_FOR_S = 60.0
 
 
 class Entry:
-    """One entry: what it believes, and when it first heard a limit."""
+    """One entry with its view of the limit."""
 
     def __init__(self, world: "World", name: str) -> None:
         self.world = world
@@ -37,9 +36,9 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forget everything."""
-        self.heard_at: dict[str, float] = {}
-        self.counts_from: float | None = None
+        """Restart with empty memory."""
+        self.received_at: dict[str, float] = {}
+        self.checked_from: float | None = None
         self.limits = rate_limits.RateLimits(
             reactor=task.Clock(),
             clock=self.world.clock,
@@ -50,29 +49,33 @@
 
     def _entries(self) -> rate_limit.Entries:
         now = self.world.clock.now
-        heard = {n for n, at in self.heard_at.items() if now - at <= SILENT_S}
+        reachable = {
+            n
+            for n, at in self.received_at.items()
+            if now - at <= UNREACHABLE_AFTER_S
+        }
         known = [
-            at for at in self.heard_at.values() if at > now - REMEMBERED_S
+            at for at in self.received_at.values() if at > now - KNOWN_FOR_S
         ]
-        # The platform tells each process some others from the start.
+        # Each process is configured with some peers.
         count = max(len(known), min(3, self.world.count - 1)) + 1
         return rate_limit.Entries(
-            self.name, frozenset(heard | {self.name}), count
+            self.name, frozenset(reachable | {self.name}), count
         )
 
-    def tell(self) -> ttypes.Usage:
-        """Return its datagram."""
-        told = ttypes.Usage(name=self.name)
-        self.limits.add_to(told, 1.0)
-        return told
+    def usage(self) -> ttypes.Usage:
+        """Return its usage datagram."""
+        message = ttypes.Usage(name=self.name)
+        self.limits.add_to(message, 1.0)
+        return message
 
-    def hear(self, told: ttypes.Usage) -> None:
-        """Take another's datagram."""
-        self.heard_at[told.name] = self.world.clock.now
-        self.limits.apply(told)
+    def receive(self, message: ttypes.Usage) -> None:
+        """Process a datagram of another entry."""
+        self.received_at[message.name] = self.world.clock.now
+        self.limits.apply(message)
 
     def send(self) -> bool:
-        """Send a request if that is allowed; the answer tells the limit."""
+        """Send a request if allowed; the response states the limit."""
         if self.limits.blocks(START):
             return False
         self.limits.record_sent(START)
@@ -81,35 +84,35 @@
 
 
 class World:
-    """All entries and the upstream, whose arrivals are counted."""
+    """The entries and the upstream, of which arrivals are counted."""
 
     def __init__(self, *, seed: int, count: int) -> None:
         self.random = random.Random(seed)
         self.clock = clock.FakeClock(start=1000.0)
         self.count = count
         self.limit: float | None = None
-        self.named_since: float | None = None
+        self.stated_since: float | None = None
         self.answers: list[tuple[float, Entry, float | None]] = []
         self.counted: collections.deque[float] = collections.deque()
-        self.worst = 0.0
-        self.sent_while_free = 0
+        self.max_excess = 0.0
+        self.sent_without_limit = 0
         self.entries = [Entry(self, f"e{n}") for n in range(count)]
-        self.parted = False
+        self.partitioned = False
 
     def arrived(self, sender: Entry) -> None:
-        """Count a request; its answer comes back a little later."""
+        """Count a request; its response arrives with a delay."""
         now = self.clock.now
         delay_s = self.random.uniform(0.0, 0.05)
         self.answers.append((now + delay_s, sender, self.limit))
-        knew = sender.counts_from
-        settled = self.named_since is not None
-        if settled and knew is not None and now >= knew:
+        checked_from = sender.checked_from
+        settled = self.stated_since is not None
+        if settled and checked_from is not None and now >= checked_from:
             self.counted.append(now)
         if self.limit is None:
-            self.sent_while_free += 1
+            self.sent_without_limit += 1
 
     def step(self, *, burst: int, loss: float) -> None:
-        """Let some time pass, with everybody asked for a burst."""
+        """Run one time step in which each entry receives a burst."""
         self.clock.advance(STEP_S)
         self._deliver()
         self._gossip(loss)
@@ -119,13 +122,13 @@
                     break
         self._check()
 
-    def name(self, limit: float | None) -> None:
-        """Have the upstream name another limit; what it allows begins anew."""
+    def set_limit(self, limit: float | None) -> None:
+        """Change the limit of the upstream and restart the check."""
         self.limit = limit
         self.counted.clear()
-        self.named_since = None if limit is None else self.clock.now
+        self.stated_since = None if limit is None else self.clock.now
         for entry in self.entries:
-            entry.counts_from = None
+            entry.checked_from = None
 
     def _deliver(self) -> None:
         now = self.clock.now
@@ -136,27 +139,27 @@
             if limit is not None:
                 stated = base.RequestsPerSecond(limit)
             entry.limits.record_limit(START, stated)
-            named = limit is not None and limit == self.limit
-            if named and entry.counts_from is None:
-                entry.counts_from = now + HEEDED_S
+            current = limit is not None and limit == self.limit
+            if current and entry.checked_from is None:
+                entry.checked_from = now + APPLY_WITHIN_S
 
     def _gossip(self, loss: float) -> None:
         for sender in self.entries:
-            told = sender.tell()
+            message = sender.usage()
             for other in self.entries:
-                apart = self.parted and _half(sender) != _half(other)
-                if other is sender or apart or self.random.random() < loss:
+                separated = self.partitioned and _half(sender) != _half(other)
+                if other is sender or separated or self.random.random() < loss:
                     continue
-                other.hear(told)
+                other.receive(message)
 
     def _check(self) -> None:
-        """Note by how much the busiest window exceeds what is allowed."""
+        """Record by how much the busiest window exceeds the bound."""
         while self.counted and self.counted[0] <= self.clock.now - WINDOW_S:
             self.counted.popleft()
         if self.limit is None:
             return
         allowed = 1.5 * self.limit * WINDOW_S + rate_limit.SLACK
-        self.worst = max(self.worst, len(self.counted) - allowed)
+        self.max_excess = max(self.max_excess, len(self.counted) - allowed)
 
 
 def _half(entry: Entry) -> int:
@@ -164,29 +167,29 @@
 
 
 def play(seed: int) -> World:
-    """Play one generated trace."""
-    made = random.Random(seed)
-    world = World(seed=seed, count=made.choice((2, 3, 5, 6, 8, 16, 32)))
-    for _ in _warm(world):
+    """Run one generated trace."""
+    source = random.Random(seed)
+    world = World(seed=seed, count=source.choice((2, 3, 5, 6, 8, 16, 32)))
+    for _ in _connect(world):
         pass
     for _ in range(3):
-        limit = made.choice((None, 0.0, 0.3, 1.0, 4.0, 12.5, 30.0))
-        # Some 10 times the limit is asked for, over all entries.
-        wanted = 10 * (limit or 1.0) * STEP_S / world.count
-        world.parted = made.random() < 0.5
-        loss = made.choice((0.0, 0.2))
-        world.name(limit)
+        limit = source.choice((None, 0.0, 0.3, 1.0, 4.0, 12.5, 30.0))
+        # The offered load of all entries is 10 times the limit.
+        offered = 10 * (limit or 1.0) * STEP_S / world.count
+        world.partitioned = source.random() < 0.5
+        loss = source.choice((0.0, 0.2))
+        world.set_limit(limit)
         for _ in range(90):
-            if made.random() < 0.02:
-                made.choice(world.entries).restart()
-            # A restart excuses an entry for the time until it is in touch.
-            burst = int(wanted) + (made.random() < wanted % 1.0)
+            if source.random() < 0.02:
+                source.choice(world.entries).restart()
+            # A restarted entry is not checked until it receives the limit.
+            burst = int(offered) + (source.random() < offered % 1.0)
             world.step(burst=max(1, burst), loss=loss)
     return world
 
 
-def _warm(world: World) -> Iterator[None]:
-    """Let the entries hear each other before the first limit."""
+def _connect(world: World) -> Iterator[None]:
+    """Let the entries exchange datagrams before the first limit."""
     for _ in range(20):
         world.step(burst=1, loss=0.0)
         yield
--- a/features/models/shifting_demand.py
+++ b/features/models/shifting_demand.py
@@ -1,8 +1,8 @@
-"""Demand that shifts every few seconds, and layouts that follow it.
+"""Model of expert demand that shifts every few seconds, and its layouts.
 
-Each topic wants experts of its own; which topics are asked for changes with
-each shift.  A change of layout is begun from the demand of the last moment
-and takes as long as the rank that has most to load, and the decision itself.
+Each topic uses some experts more than others, and the mix of topics changes
+with each shift.  A layout change starts from the recent demand; its duration
+is the decision time plus the load time of the slowest rank.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -17,13 +17,12 @@
 PLACES, SPARE = 11, 4
 TOPICS = 9
 STEP_S = 0.1
-# Loading one expert, and telling all ranks, in seconds.
+# Durations of loading one expert and of deciding a change.
 LOAD_S = 0.4
 DECIDE_S = 0.2
-# The demand of so long ago counts half.
 HALF_LIFE_S = 0.5
-LEAST_GAIN = 0.1
-LEAST_IMPROVEMENT = 0.12
+MIN_GAIN = 0.1
+MIN_IMPROVEMENT = 0.12
 
 Held = list[list[tuple[int, ...]]]
 
@@ -39,7 +38,7 @@
     """A group whose layout follows its demand.
 
     Attributes:
-      skews: The skew of the layout in use, at each step of time.
+      skews: Skew of the current layout at each time step.
     """
 
     def __init__(self, *, seed: int, loads: int | None) -> None:
@@ -50,16 +49,15 @@
             for rank in range(RANKS)
         ]
         self.held: Held = [list(first) for _ in range(SETS)]
-        self.liked = [
-            [self._liked_by_topic() for _ in range(SETS)]
-            for _ in range(TOPICS)
+        self.weights_by_topic = [
+            [self._topic_weights() for _ in range(SETS)] for _ in range(TOPICS)
         ]
         self.recent = [[0.0] * EXPERTS for _ in range(SETS)]
         self.skews: list[float] = []
         self.change: Change | None = None
 
-    def _liked_by_topic(self) -> list[float]:
-        """Return how often a topic wants each expert; a few lead."""
+    def _topic_weights(self) -> list[float]:
+        """Return the weight of each expert for a topic (Zipf-like)."""
         order = self.random.sample(range(EXPERTS), EXPERTS)
         weights = [0.0] * EXPERTS
         for place, expert in enumerate(order):
@@ -67,7 +65,7 @@
         return weights
 
     def play(self, seconds: float, *, shift_every_s: float) -> None:
-        """Let time pass; demand moves to other topics now and then."""
+        """Run for a time, with demand that shifts between topics."""
         now, shift_at = 0.0, 0.0
         topics: list[float] = []
         while now < seconds:
@@ -78,35 +76,37 @@
             now += STEP_S
 
     def _step(self, now: float, topics: list[float]) -> None:
-        wanted = [self._wanted(number, topics) for number in range(SETS)]
-        fade = 0.5 ** (STEP_S / HALF_LIFE_S)
-        for recent, new in zip(self.recent, wanted, strict=True):
+        demands = [self._demand(number, topics) for number in range(SETS)]
+        decay = 0.5 ** (STEP_S / HALF_LIFE_S)
+        for recent, new in zip(self.recent, demands, strict=True):
             for expert, value in enumerate(new):
-                recent[expert] = recent[expert] * fade + value
+                recent[expert] = recent[expert] * decay + value
         if self.change is not None and now >= self.change.ends_at:
             self.held, self.change = self.change.held, None
         if self.change is None:
-            self.change = self._better(now)
-        self.skews.append(_skew(self.held, wanted))
+            self.change = self._improvement(now)
+        self.skews.append(_skew(self.held, demands))
 
-    def _wanted(self, number: int, topics: list[float]) -> list[float]:
-        """Return the demand of one set now; chance plays a part."""
+    def _demand(self, number: int, topics: list[float]) -> list[float]:
+        """Return the current demand of one set, with random noise."""
         noise = [self.random.uniform(0.7, 1.3) for _ in topics]
         weights = [t * n for t, n in zip(topics, noise, strict=True)]
-        rows = [self.liked[topic][number] for topic in range(TOPICS)]
+        rows = [
+            self.weights_by_topic[topic][number] for topic in range(TOPICS)
+        ]
         return [
             sum(w * row[e] for w, row in zip(weights, rows, strict=True))
             for e in range(EXPERTS)
         ]
 
-    def _better(self, now: float) -> Change | None:
-        """Begin a change, if one is worth it."""
+    def _improvement(self, now: float) -> Change | None:
+        """Return a layout change if it improves the balance enough."""
         solved = replicas.solve(
-            self.held, self.recent, self.bounds, min_gain=LEAST_GAIN
+            self.held, self.recent, self.bounds, min_gain=MIN_GAIN
         )
         before = sum(item.before for item in solved)
         after = sum(item.after for item in solved)
-        if after > before * (1 - LEAST_IMPROVEMENT):
+        if after > before * (1 - MIN_IMPROVEMENT):
             return None
         held = [list(item.held) for item in solved]
         loads = [
@@ -120,15 +120,19 @@
 
     @property
     def skew(self) -> float:
-        """The mean skew over the time that was played."""
+        """Mean skew over the run."""
         return sum(self.skews) / len(self.skews)
 
 
-def _skew(held: Held, wanted: list[list[float]]) -> float:
-    """Return the mean over sets of the largest over the mean load."""
-    found = []
-    for rows, demand in zip(held, wanted, strict=True):
-        owners = [sum(e in row for row in rows) for e in range(EXPERTS)]
-        loads = [sum(demand[e] / owners[e] for e in row) for row in rows]
-        found.append(max(loads) * len(loads) / sum(loads))
-    return sum(found) / len(found)
+def _skew(held: Held, demands: list[list[float]]) -> float:
+    """Return the ratio of maximum to mean load, averaged over sets."""
+    ratios = []
+    for rows, demand in zip(held, demands, strict=True):
+        replica_counts = [
+            sum(e in row for row in rows) for e in range(EXPERTS)
+        ]
+        loads = [
+            sum(demand[e] / replica_counts[e] for e in row) for row in rows
+        ]
+        ratios.append(max(loads) * len(loads) / sum(loads))
+    return sum(ratios) / len(ratios)
--- a/features/models/shifting_group.py
+++ b/features/models/shifting_group.py
@@ -1,8 +1,7 @@
-"""A group that steps all its streams together, under demand that shifts.
+"""Model of a group that steps its streams together, under shifting demand.
 
-Each entry admits by its own pace alone, as it sees the pauses of its streams
-and hears how much of the group is in use.  A stream is in time if none of its
-pauses is too long.
+Each entry admits streams by its own pace, from the pauses of its streams and
+the utilization of the group.  A stream is in time if no pause is too long.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -13,19 +12,18 @@
 from reelscale_core import pace
 
 SLOTS = 72
-# Events of a stream.
-LENGTH = 24
-GOOD_S = 0.12
+# Events per stream.
+STREAM_EVENTS = 24
+MAX_PAUSE_S = 0.12
 FIXED_S = 0.018
-# What a full group adds to a pass, in seconds, with a good layout and until
-# the layout has followed a shift.
-CHEAP_S = 0.07
-DEAR_S = 0.155
-# Passes vary by chance by this part.
-VARIES = 0.08
-# Streams that the group could keep in time, in streams a second: as many as
-# make passes of the good length, cheap and dear times taken together.
-MORE = 1.2
+# Time that a full group adds to a pass, with a balanced layout and before the
+# layout has follpending a shift.
+BALANCED_S = 0.07
+SKEWED_S = 0.155
+# Relative random variation of passes.
+JITTER = 0.08
+# Offered load, as a multiple of the capacity.
+OVERLOAD = 1.2
 
 
 class Stream:
@@ -33,51 +31,51 @@
 
     def __init__(self, entry: int) -> None:
         self.entry = entry
-        self.left = LENGTH
+        self.remaining = STREAM_EVENTS
         self.late = False
 
 
 class Group:
-    """The group, the entries' paces and what became of the streams."""
+    """The group, the paces of the entries and counts of streams."""
 
     def __init__(self, *, entries: int) -> None:
         self.random = random.Random(5)
         self.paces = [pace.Pace() for _ in range(entries)]
         self.streams: list[Stream] = []
         self.ended = self.in_time = 0
-        self.could = 0.0
+        self.capacity = 0.0
 
-    def play(self, seconds: float, *, dear_s: float, every_s: float) -> None:
-        """Step the group through shifts of demand."""
-        now = owed = 0.0
+    def play(self, seconds: float, *, skewed_s: float, every_s: float) -> None:
+        """Run the group through shifts of demand."""
+        now = pending = 0.0
         while now < seconds:
-            full_s = DEAR_S if now % every_s < dear_s else CHEAP_S
-            varied = self.random.uniform(1 - VARIES, 1 + VARIES)
+            full_s = SKEWED_S if now % every_s < skewed_s else BALANCED_S
+            jitter = self.random.uniform(1 - JITTER, 1 + JITTER)
             used = len(self.streams) / SLOTS
-            pass_s = FIXED_S + full_s * used * varied
+            pass_s = FIXED_S + full_s * used * jitter
             now += pass_s
-            bears = _bears_per_s(full_s)
-            self.could += bears * pass_s
-            owed += bears * MORE * pass_s
+            capacity_per_s = _capacity_per_s(full_s)
+            self.capacity += capacity_per_s * pass_s
+            pending += capacity_per_s * OVERLOAD * pass_s
             self._step(pass_s, now, used)
-            while owed >= 1:
-                owed -= 1
+            while pending >= 1:
+                pending -= 1
                 self._arrive()
 
     def _step(self, pass_s: float, now: float, used: float) -> None:
-        """Give each stream an event; each entry sees those of its own."""
+        """Send an event to each stream, observed by its entry."""
         for stream in self.streams:
-            stream.left -= 1
-            stream.late = stream.late or pass_s > GOOD_S
+            stream.remaining -= 1
+            stream.late = stream.late or pass_s > MAX_PAUSE_S
             self.paces[stream.entry] = pace.observed(
                 self.paces[stream.entry],
                 pass_s,
-                max_pause_s=GOOD_S,
+                max_pause_s=MAX_PAUSE_S,
                 used=used,
                 now=now,
                 fixed_s=FIXED_S,
             )
-        for stream in [s for s in self.streams if not s.left]:
+        for stream in [s for s in self.streams if not s.remaining]:
             self.streams.remove(stream)
             self.ended += 1
             self.in_time += not stream.late
@@ -89,7 +87,11 @@
             self.streams.append(Stream(entry))
 
 
-def _bears_per_s(full_s: float) -> float:
-    """Return the streams a second that passes of the good length bear."""
-    part = min(1.0, (GOOD_S - FIXED_S) / full_s)
-    return SLOTS * part / (LENGTH * (FIXED_S + full_s * part))
+def _capacity_per_s(full_s: float) -> float:
+    """Return the throughput at the maximum pause, in streams per second."""
+    utilization = min(1.0, (MAX_PAUSE_S - FIXED_S) / full_s)
+    return (
+        SLOTS
+        * utilization
+        / (STREAM_EVENTS * (FIXED_S + full_s * utilization))
+    )
--- a/features/models/suspects.py
+++ b/features/models/suspects.py
@@ -1,9 +1,8 @@
-"""Replays requests that crash upstreams, beside innocent ones.
+"""Simulates requests that crash upstreams beside innocent ones.
 
-Real controllers of several entries and a world in which some requests crash
-whatever begins to run them.  Their callers come again, at any entry, as do
-those of the innocent requests that were there.  Upstreams also crash and are
-cut off for reasons of their own.
+Runs the real controllers of several entries.  Callers retry at any entry, both
+those of crashing requests and those of innocent requests that were running
+beside them.  Upstreams also crash and lose connections for other reasons.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -20,35 +19,35 @@
 
 SLOTS = 3
 STEP_S = 0.1
-# A request that nothing happens to takes so many steps.
-TAKES = 6
-# Steps for which an upstream that crashed is away.
-AWAY = 20
+# Steps that a request takes if nothing fails.
+REQUEST_STEPS = 6
+# Steps that an upstream takes to restart.
+RESTART_STEPS = 20
 
 
 class Caller:
-    """A caller who sends one request again until it is answered.
+    """A caller that retries one request until it is answered.
 
     Attributes:
-      guilty: Whether the request crashes what runs it.
+      crashing: Whether the request crashes upstreams.
       crashed_at: Times at which it crashed an upstream.
-      reached: Times at which it reached one.
-      refused: How often it was refused as convicted.
+      reached: Times at which it reached an upstream.
+      refused: Number of refusals as convicted.
       done: Whether it was answered.
     """
 
-    def __init__(self, number: int, *, guilty: bool) -> None:
+    def __init__(self, number: int, *, crashing: bool) -> None:
         self.number = number
-        self.guilty = guilty
+        self.crashing = crashing
         self.crashed_at: list[float] = []
         self.reached: list[float] = []
         self.refused = 0
         self.done = False
         self.running: Running | None = None
-        self.comes_at = 0.0
+        self.next_attempt_at = 0.0
 
     def call(self) -> call.Call:
-        """Return its request as an entry sees it."""
+        """Return its request as seen by an entry."""
         workspace: Any = types.SimpleNamespace(name="acme")
         return call.Call(
             http=None,
@@ -69,28 +68,28 @@
         self.caller = caller
         self.entry = entry
         self.at = at
-        self.asked = caller.call()
-        self.left = TAKES
+        self.request = caller.call()
+        self.remaining_steps = REQUEST_STEPS
 
 
 class Upstream:
-    """One place where upstreams start, one start after the other."""
+    """An upstream that restarts after each crash."""
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.born = 0
-        self.away = 0
+        self.starts = 0
+        self.down_steps = 0
 
     @property
-    def item(self) -> announcement.Announcement:
-        """Return what the start that is there announces."""
+    def current(self) -> announcement.Announcement:
+        """Return the announcement of the current start."""
         return announcement.Announcement(
             name=f"u{self.number}",
             target="llm",
             address="127.0.0.1:1",
             hall="a",
             slots=SLOTS,
-            born_ms=self.born,
+            born_ms=self.starts,
         )
 
 
@@ -107,11 +106,11 @@
             on_update=lambda: None,
         )
 
-    def tell(self) -> ttypes.Usage:
-        """Return its datagram."""
-        told = ttypes.Usage(name=self.name)
-        self.suspects.add_to(told, 1.0)
-        return told
+    def usage(self) -> ttypes.Usage:
+        """Return its usage datagram."""
+        message = ttypes.Usage(name=self.name)
+        self.suspects.add_to(message, 1.0)
+        return message
 
 
 class World:
@@ -125,40 +124,40 @@
         self.upstreams = [Upstream(n) for n in range(12)]
         self.running: list[Running] = []
         self.callers = [
-            Caller(n, guilty=n < self.random.choice((1, 1, 2)))
+            Caller(n, crashing=n < self.random.choice((1, 1, 2)))
             for n in range(30)
         ]
         for caller in self.callers:
-            caller.comes_at = self.clock.now + self.random.uniform(0, 3)
+            caller.next_attempt_at = self.clock.now + self.random.uniform(0, 3)
 
     def step(self) -> None:
-        """Let callers come, requests run, and entries hear each other."""
+        """Run one time step of callers, upstreams and gossip."""
         self.clock.advance(STEP_S)
         for upstream in self.upstreams:
-            upstream.away = max(0, upstream.away - 1)
-        self._own_faults()
+            upstream.down_steps = max(0, upstream.down_steps - 1)
+        self._unrelated_faults()
         self._gossip()
         for caller in self.callers:
-            if self._wants(caller):
+            if self._is_due(caller):
                 self._send(caller)
         self._run()
 
-    def _wants(self, caller: Caller) -> bool:
+    def _is_due(self, caller: Caller) -> bool:
         free = not caller.done and caller.running is None
-        return free and caller.comes_at <= self.clock.now
+        return free and caller.next_attempt_at <= self.clock.now
 
-    def _own_faults(self) -> None:
-        """Have an upstream crash or be cut off now and then by itself."""
+    def _unrelated_faults(self) -> None:
+        """Crash or disconnect an upstream at random."""
         if self.random.random() < 0.01:
             self._crash(self.random.choice(self.upstreams))
         if self.random.random() < 0.02:
-            cut = self.random.choice(self.upstreams)
-            for item in [r for r in self.running if r.at is cut]:
+            disconnected = self.random.choice(self.upstreams)
+            for item in [r for r in self.running if r.at is disconnected]:
                 self._lose(item)
 
     def _gossip(self) -> None:
-        told = [(entry, entry.tell()) for entry in self.entries]
-        for sender, message in told:
+        messages = [(entry, entry.usage()) for entry in self.entries]
+        for sender, message in messages:
             for other in self.entries:
                 if other is not sender and self.random.random() < 0.9:
                     other.suspects.apply(message)
@@ -166,7 +165,7 @@
     def _send(self, caller: Caller) -> None:
         entry = self.random.choice(self.entries)
         asked = caller.call()
-        caller.comes_at = self.clock.now + 1.0
+        caller.next_attempt_at = self.clock.now + 1.0
         if entry.suspects.convicted_s(asked):
             caller.refused += 1
             return
@@ -176,19 +175,19 @@
         ]
         if not free:
             return
-        # Those that were refused lately come last, as in routing.
+        # Candidates that recently refused come last, as in routing.
         free.sort(key=lambda item: (item.refused, self.random.random()))
         upstream = self.upstreams[int(free[0].name[1:])]
         sent = Running(caller, entry, upstream)
         self.running.append(sent)
         caller.running = sent
         caller.reached.append(self.clock.now)
-        entry.suspects.begin(sent.asked, upstream.item.start)
+        entry.suspects.begin(sent.request, upstream.current.start)
 
     def _candidates(self) -> list[routing.Candidate]:
         return [
             routing.Candidate(
-                name=item.item.name,
+                name=item.current.name,
                 hall="a",
                 slots=SLOTS,
                 until=0.0,
@@ -199,65 +198,70 @@
                 capacity=SLOTS,
                 step_ms=0.0,
                 reported_at=0.0,
-                start=item.item.start.key,
+                start=item.current.start.key,
             )
             for item in self.upstreams
-            if not item.away
+            if not item.down_steps
         ]
 
     def _run(self) -> None:
         for item in list(self.running):
             if item not in self.running:
                 continue
-            item.left -= 1
-            if item.caller.guilty and item.left <= TAKES // 2:
+            item.remaining_steps -= 1
+            if (
+                item.caller.crashing
+                and item.remaining_steps <= REQUEST_STEPS // 2
+            ):
                 item.caller.crashed_at.append(self.clock.now)
                 self._crash(item.at)
-            elif item.left <= 0:
+            elif item.remaining_steps <= 0:
                 item.caller.done = True
-                item.entry.suspects.record_success(item.asked)
+                item.entry.suspects.record_success(item.request)
                 self._end(item)
 
     def _crash(self, upstream: Upstream) -> None:
-        """End a start with all that runs there."""
-        if upstream.away:
+        """Crash the current start with its requests."""
+        if upstream.down_steps:
             return
-        here = [item for item in self.running if item.at is upstream]
-        start = upstream.item.start
-        for item in here:
+        running = [item for item in self.running if item.at is upstream]
+        start = upstream.current.start
+        for item in running:
             self._end(item)
         for entry in self.entries:
             losses = [
-                suspects.Loss(item.asked, len(here))
-                for item in here
+                suspects.Loss(item.request, len(running))
+                for item in running
                 if item.entry is entry
             ]
             if losses:
                 entry.suspects._record_crash(start, losses)
-        upstream.away = AWAY
-        upstream.born += 1
+        upstream.down_steps = RESTART_STEPS
+        upstream.starts += 1
 
     def _lose(self, item: Running) -> None:
-        """Lose a request to a cut, which is no crash."""
+        """Lose a request to a broken connection, which is not a crash."""
         self._end(item)
 
     def _end(self, item: Running) -> None:
-        item.entry.suspects.end(item.asked, item.at.item.start)
+        item.entry.suspects.end(item.request, item.at.current.start)
         item.caller.running = None
-        item.caller.comes_at = self.clock.now + self.random.uniform(0.1, 0.6)
+        item.caller.next_attempt_at = self.clock.now + self.random.uniform(
+            0.1, 0.6
+        )
         if item in self.running:
             self.running.remove(item)
 
 
 def play(seed: int, *, steps: int = 500) -> World:
-    """Play one generated trace."""
+    """Run one generated trace."""
     world = World(seed)
     for _ in range(steps):
         world.step()
     return world
 
 
-def retries_after_third(caller: Caller) -> int:
+def reached_after_third_crash(caller: Caller) -> int:
     """Return how often a request reached upstreams after its third crash."""
     if len(caller.crashed_at) < suspicion.CONVICTED_AFTER:
         return 0
--- a/features/outage.feature
+++ b/features/outage.feature
@@ -1,13 +1,13 @@
-Feature: A group is out when none of its ranks takes work
+Feature: A group is out of service when none of its ranks accepts work
 
-  Scenario: While some ranks of a group refuse, the others go on serving
-    Given a group of 8 ranks of which 4 refuse all that arrives
-    When 15 streams a second are asked for during 8 s
-    Then the group is never taken to be out
-    And no rank that refuses nothing stands idle while a caller is refused
+  Scenario: A group in which only some ranks refuse stays in service
+    Given a group of 8 ranks of which 4 refuse all requests
+    When 15 streams per second are requested for 8 s
+    Then the group is never considered out of service
+    And requests are refused only by ranks
 
-  Scenario: A group without progress is out after three refusals
-    Given a group of 8 ranks that stands still and refuses all that arrives
-    When 15 streams a second are asked for during 2 s
-    Then the group is taken to be out
-    And 12 requests at most reach its ranks
+  Scenario: A stalled group is out of service after three refusals
+    Given a stalled group of 8 ranks that refuse all requests
+    When 15 streams per second are requested for 2 s
+    Then the group is considered out of service
+    And at most 12 requests reach its ranks
--- a/features/rate_limit.feature
+++ b/features/rate_limit.feature
@@ -1,37 +1,37 @@
-Feature: Entries together keep to the limit that an upstream names
+Feature: Entries share the rate limit of an upstream
 
-  Scenario: Entries share a limit through losses, cuts and restarts
-    When 60 traces of entries that share a limit are played
-    Then no 4 s see more than one and a half times the limit and 5 requests
+  Scenario: Entries share a limit through message loss, partitions and restarts
+    When 60 traces of entries sharing a limit are replayed
+    Then no window of 4 s exceeds 1.5 times the limit plus 5 requests
 
-  Scenario: A limit that is over holds nobody up
-    When an upstream names a limit of 0 requests a second for 6 s, then none
+  Scenario: Entries send again after a limit is lifted
+    When an upstream states a limit of 0 requests per second for 6 s, then lifts it
     Then all entries send again within 5 s
 
-  Scenario: A limit is used up while all entries hear each other
-    When 6 entries share a limit of 12.0 requests a second for 30 s
-    Then between 10.0 and 12.5 requests a second arrive
+  Scenario: A limit is fully used while all entries are connected
+    When 6 entries share a limit of 12.0 requests per second for 30 s
+    Then between 10.0 and 12.5 requests per second arrive
 
   Scenario Outline: The replay finds a fault in <fault>
-    When 60 traces of entries that share a limit are played with a fault in <fault>
-    Then some 4 s see more than one and a half times the limit and 5 requests
+    When 60 traces of entries sharing a limit are replayed with a fault in <fault>
+    Then some window of 4 s exceeds 1.5 times the limit plus 5 requests
 
     Examples:
       | fault            |
       | sharing          |
       | counting retries |
-      | cut halves       |
+      | partitions       |
 
-  Scenario: A newer answer is not undone by an older one that comes late
-    When one entry heard of a limit, another heard later that it is over
-    And the older news arrives after the newer
-    Then the second entry sends what it likes
+  Scenario: A delayed report does not replace a newer one
+    When one entry receives a limit and another later receives its removal
+    And the older report arrives after the newer one
+    Then the second entry sends without a limit
 
-  Scenario: The earliest turn wakes those that wait, whichever upstream has it
-    When an entry has used up a limit of 0 at one upstream and of 4 at another
-    Then those that wait at it look again within 0.3 s
+  Scenario: Queued requests wake for the upstream that allows one first
+    When an entry has exhausted a limit of 0 at one upstream and of 4 at another
+    Then its queued requests are retried within 0.3 s
 
-  Scenario Outline: What states no limit is told from what does
+  Scenario Outline: A limit is parsed strictly
     Then a limit stated as "<text>" is <meaning>
 
     Examples:
@@ -46,7 +46,7 @@
       | 4,5   | unreadable  |
       | none  | unreadable  |
 
-  Scenario Outline: Whose answer tells a limit
+  Scenario Outline: Which responses may state a limit
     Then the limit of <answer> <counts>
 
     Examples:
@@ -56,12 +56,12 @@
       | an answer that names no request         | does not count |
       | an answer with another request's id     | does not count |
 
-  Scenario: Four entries and one upstream that names a limit
+  Scenario: Four entries and one worker that states a limit
     Given a fleet of one worker and 4 entries
-    When the worker names a limit of 4 requests a second
-    And all entries are asked for 10 times that for 9 s
-    Then no 4 s after the first second see more than 29 requests at the worker
+    When the worker states a limit of 4 requests per second
+    And all entries together receive 10 times that rate for 9 s
+    Then no window of 4 s after the first second has more than 29 requests at the worker
     And at least 20 requests reach the worker after the first second
-    And those refused were refused at once, as not run, with when to come back
-    When the worker names no limit any more
+    And the others were refused immediately as not run, with a Retry-After
+    When the worker lifts its limit
     Then entry "f3" serves 20 requests within 3 s
--- a/features/replay.feature
+++ b/features/replay.feature
@@ -1,16 +1,16 @@
-Feature: The decisions keep the promises under any interleaving
+Feature: The protocols keep their invariants under any interleaving
 
-  Generated traces interleave deliveries, losses, doubles, reorderings,
-  restarts with empty memory and racing holders, homes and operators. For
-  each rule a variant without it must break the promise on a kept trace, so
-  that these checks can fail.
+  Generated traces interleave deliveries, losses, duplicates, reorderings,
+  restarts with empty memory and racing holders, owners and operators. For
+  each rule a variant without it must violate the invariant on a recorded
+  trace, which shows that the check can fail.
 
-  Scenario Outline: <promise>
+  Scenario Outline: <invariant>
     When 300 generated traces and 1500 seeded ones of the <model> model run
-    Then none breaks the promise
+    Then no trace violates the invariant
 
     Examples:
-      | promise                                            | model     |
+      | invariant                                          | model     |
       | A step runs on one layout                          | lockstep  |
       | A step of an engine that arms itself, too          | relayout  |
       | A key runs at most once                            | oncekeys  |
@@ -18,8 +18,8 @@
       | All readers of the log fold the same, none reverts | configlog |
 
   Scenario Outline: The <model> model finds a fault <rules>
-    When the kept trace of the <model> model <rules> runs
-    Then it breaks the promise
+    When the recorded trace of the <model> model <rules> is replayed
+    Then it violates the invariant
     But the same trace with the rules as built does not
 
     Examples:
@@ -35,18 +35,18 @@
       | oncekeys | without asking earlier homes                 |
       | oncekeys | without refusing keys from before a restart  |
       | exchange | without tombstones                           |
-      | exchange | without checking the incarnation     |
+      | exchange | without checking the incarnation             |
       | exchange | without sequence numbers                     |
 
-  Scenario Outline: A group comes onto its layout once faults cease
+  Scenario Outline: A group converges to its target layout once faults cease
     When 200 seeded traces of the <model> model run and faults cease
-    Then every group ends on the layout wanted
+    Then every group converges to the target layout
 
     Examples:
       | model    |
       | lockstep |
       | relayout |
 
-  Scenario: Ranks that hold nothing and answer one after the other are all known
-    When ranks that hold nothing first answer in different rounds
-    Then the holder knows all of them in a few rounds
+  Scenario: A holder learns the state of empty ranks that answer one by one
+    When empty ranks first answer in different rounds
+    Then the holder has the state of all of them within a few rounds
--- a/features/steps/circuit_steps.py
+++ b/features/steps/circuit_steps.py
@@ -16,45 +16,45 @@
     context.circuit = circuit.CLOSED
 
 
-def _lose(context, count):
+def _fail(context, count):
     for _ in range(count):
         context.circuit = circuit.failed(context.circuit, context.now)
 
 
 def _wait_until_allowed(context):
-    """Let time pass until a request may be sent; return the seconds."""
+    """Advance time until a request is allowed; return the seconds."""
     start = context.now
     while not circuit.allows(context.circuit, context.now):
         context.now += STEP_S
     return context.now - start
 
 
-@when("all of them are lost at once")
+@when("all of them fail at once")
 def _(context):
-    _lose(context, context.count)
+    _fail(context, context.count)
 
 
-@when("{count:d} trials fail, each as soon as it may be sent")
+@when("{count:d} probes fail, each sent as soon as the circuit allows it")
 def _(context, count):
     for _ in range(count):
         _wait_until_allowed(context)
         context.circuit = circuit.sent(context.circuit)
-        _lose(context, 1)
+        _fail(context, 1)
 
 
 @when(
-    "{count:d} of them are lost, a trial is sent, the others are lost, it "
+    "{count:d} of them fail, a probe is sent, the others fail and the probe "
     "succeeds"
 )
 def _(context, count):
-    _lose(context, count)
+    _fail(context, count)
     _wait_until_allowed(context)
     context.circuit = circuit.sent(context.circuit)
-    _lose(context, context.count - count)
+    _fail(context, context.count - count)
     context.circuit = circuit.succeeded(context.circuit)
 
 
-@then("it is asked again after {seconds:g} s")
+@then("the circuit allows a request after {seconds:g} s")
 def _(context, seconds):
     waited_s = _wait_until_allowed(context)
     assert abs(waited_s - seconds) < 2 * STEP_S, waited_s
--- a/features/steps/outage_steps.py
+++ b/features/steps/outage_steps.py
@@ -1,4 +1,4 @@
-"""Steps on groups of which some or all ranks refuse work."""
+"""Steps on groups in which some or all ranks refuse work."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -12,29 +12,25 @@
 OUT = "group-out"
 
 
-@given(
-    "a group of {count:d} ranks of which {refusing:d} refuse all that arrives"
-)
+@given("a group of {count:d} ranks of which {refusing:d} refuse all requests")
 def _(context, count, refusing):
     world = context.world = shedding.World(seed=1, count=count, slow_share=0)
-    # Streams are in progress before the first refusal.
-    _ask(world, rate=15, seconds=1.0)
+    # Streams must be in progress before the first refusal.
+    _request_streams(world, rate=15, seconds=1.0)
     _refuse(context, refusing)
 
 
-@given(
-    "a group of {count:d} ranks that stands still and refuses all that arrives"
-)
+@given("a stalled group of {count:d} ranks that refuse all requests")
 def _(context, count):
     world = context.world = shedding.World(seed=1, count=count, slow_share=0)
-    _ask(world, rate=15, seconds=1.0)
-    # No stream lasts longer than this.
-    _ask(world, rate=0, seconds=4.0)
+    _request_streams(world, rate=15, seconds=1.0)
+    # Longer than any stream lasts.
+    _request_streams(world, rate=0, seconds=4.0)
     _refuse(context, count)
 
 
 def _refuse(context, count):
-    """Have ranks refuse; they name no time, so that they are asked again."""
+    """Make ranks refuse without a Retry-After, so that they are retried."""
     world = context.world
     for item in list(world.upstreams.values())[:count]:
         item.retry_after_s = 0.0
@@ -46,7 +42,7 @@
     return sum(len(item.arrivals) for item in world.upstreams.values())
 
 
-def _ask(world, *, rate, seconds):
+def _request_streams(world, *, rate, seconds):
     due = 0.0
     for _ in range(round(seconds / shedding.STEP_S)):
         due += rate * shedding.STEP_S
@@ -56,32 +52,31 @@
         world.step()
 
 
-@when("{rate:d} streams a second are asked for during {seconds:d} s")
+@when("{rate:d} streams per second are requested for {seconds:d} s")
 def _(context, rate, seconds):
-    _ask(context.world, rate=rate, seconds=seconds)
+    _request_streams(context.world, rate=rate, seconds=seconds)
     context.codes = collections.Counter(
         asked.code for asked in context.world.calls[context.before :]
     )
 
 
-@then("the group is never taken to be out")
+@then("the group is never considered out of service")
 def _(context):
     assert not context.codes[OUT], context.codes
 
 
-@then("the group is taken to be out")
+@then("the group is considered out of service")
 def _(context):
     assert context.codes[OUT], context.codes
 
 
-@then("no rank that refuses nothing stands idle while a caller is refused")
+@then("requests are refused only by ranks")
 def _(context):
-    """See that callers are refused by ranks alone."""
     codes = set(context.codes) - {"", "lost"}
     assert codes <= {"upstream-503"}, context.codes
 
 
-@then("{most:d} requests at most reach its ranks")
-def _(context, most):
+@then("at most {max_requests:d} requests reach its ranks")
+def _(context, max_requests):
     arrived = _arrived(context.world) - context.arrived
-    assert arrived <= most, arrived
+    assert arrived <= max_requests, arrived
--- a/features/steps/platform_usage_steps.py
+++ b/features/steps/platform_usage_steps.py
@@ -276,7 +276,7 @@
     "what a stream costs more than doubles for {dear:g} s of each {every:g} s"
 )
 def _(context, dear, every):
-    context.shifting.play(context.seconds, dear_s=dear, every_s=every)
+    context.shifting.play(context.seconds, skewed_s=dear, every_s=every)
 
 
 @then("at least {part:d} of 10 streams keep the pause that is good")
@@ -291,4 +291,4 @@
 )
 def _(context, part):
     group = context.shifting
-    assert group.in_time * 10 >= part * group.could, vars(group)
+    assert group.in_time * 10 >= part * group.capacity, vars(group)
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps on limits that upstreams name."""
+"""Steps on rate limits stated by upstreams."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -16,62 +16,66 @@
 from features.models import rate_limits as model
 from standins import process
 
-# A refusal at once takes some milliseconds; the goal of the route is 1 s.
-AT_ONCE_S = 0.25
+# Well below the latency goal of the route, which is 1 s.
+IMMEDIATE_S = 0.25
 
 
-def _parted_without_memory(per_s, upstream, entries):
-    """Share by those that are heard alone, as if nobody could be cut off."""
-    heard = entries._replace(known=len(entries.reachable))
-    return REAL_SHARE(per_s, upstream, heard)
+def _share_among_reachable(per_s, upstream, entries):
+    """Divide among reachable entries, as if no partition could occur."""
+    reachable = entries._replace(known=len(entries.reachable))
+    return REAL_SHARE(per_s, upstream, reachable)
 
 
 REAL_SHARE = rate_limit.share_per_s
 FAULTS = {
     "sharing": ("share_per_s", lambda per_s, upstream, entries: per_s),
     "counting retries": ("debited", lambda bucket: bucket),
-    "cut halves": ("share_per_s", _parted_without_memory),
+    "partitions": ("share_per_s", _share_among_reachable),
 }
 
 
-@when("{count:d} traces of entries that share a limit are played")
+@when("{count:d} traces of entries sharing a limit are replayed")
 def _(context, count):
-    context.worst = max(model.play(seed).worst for seed in range(count))
+    context.max_excess = max(
+        model.play(seed).max_excess for seed in range(count)
+    )
 
 
 @when(
-    "{count:d} traces of entries that share a limit are played with a fault "
-    "in {fault}"
+    "{count:d} traces of entries sharing a limit are replayed with a fault in "
+    "{fault}"
 )
 def _(context, count, fault):
     name, function = FAULTS[fault]
     with mock.patch.object(rate_limit, name, function):
-        context.worst = max(model.play(seed).worst for seed in range(count))
+        context.max_excess = max(
+            model.play(seed).max_excess for seed in range(count)
+        )
 
 
-@then("no 4 s see more than one and a half times the limit and 5 requests")
+@then("no window of 4 s exceeds 1.5 times the limit plus 5 requests")
 def _(context):
-    assert context.worst <= 0, context.worst
+    assert context.max_excess <= 0, context.max_excess
 
 
-@then("some 4 s see more than one and a half times the limit and 5 requests")
+@then("some window of 4 s exceeds 1.5 times the limit plus 5 requests")
 def _(context):
-    assert context.worst > 0, context.worst
+    assert context.max_excess > 0, context.max_excess
 
 
 @when(
-    "an upstream names a limit of {limit:g} requests a second for "
-    "{seconds:g} s, then none"
+    "an upstream states a limit of {limit:g} requests per second for "
+    "{seconds:g} s, then lifts it"
 )
 def _(context, limit, seconds):
     world = context.world = model.World(seed=1, count=6)
     for _ in range(20):
         world.step(burst=1, loss=0.0)
-    world.name(limit)
+    world.set_limit(limit)
     for _ in range(int(seconds / model.STEP_S)):
         world.step(burst=1, loss=0.0)
-    world.name(None)
-    world.sent_while_free = 0
+    world.set_limit(None)
+    world.sent_without_limit = 0
 
 
 @then("all entries send again within {seconds:g} s")
@@ -79,20 +83,20 @@
     world = context.world
     for _ in range(int(seconds / model.STEP_S)):
         world.step(burst=1, loss=0.0)
-    before = world.sent_while_free
+    before = world.sent_without_limit
     world.step(burst=1, loss=0.0)
-    assert world.sent_while_free - before == world.count, before
+    assert world.sent_without_limit - before == world.count, before
 
 
 @when(
-    "{count:d} entries share a limit of {limit:g} requests a second for "
+    "{count:d} entries share a limit of {limit:g} requests per second for "
     "{seconds:g} s"
 )
 def _(context, count, limit, seconds):
     world = model.World(seed=2, count=count)
     for _ in range(20):
         world.step(burst=1, loss=0.0)
-    world.name(limit)
+    world.set_limit(limit)
     for _ in range(40):
         world.step(burst=3, loss=0.0)
     arrivals = []
@@ -109,36 +113,38 @@
     context.rate = len(arrivals) / seconds
 
 
-@then("between {least:g} and {most:g} requests a second arrive")
-def _(context, least, most):
-    assert least <= context.rate <= most, context.rate
+@then("between {min_rate:g} and {max_rate:g} requests per second arrive")
+def _(context, min_rate, max_rate):
+    assert min_rate <= context.rate <= max_rate, context.rate
 
 
-@when("one entry heard of a limit, another heard later that it is over")
+@when("one entry receives a limit and another later receives its removal")
 def _(context):
     world = model.World(seed=3, count=2)
     context.first, context.second = world.entries
     context.first.limits.record_limit(model.START, base.RequestsPerSecond(0.0))
-    context.late = context.first.tell()
-    context.second.hear(context.late)
+    context.older = context.first.usage()
+    context.second.receive(context.older)
     world.clock.advance(0.2)
     context.second.limits.record_limit(model.START, base.NoRateLimit())
 
 
-@when("the older news arrives after the newer")
+@when("the older report arrives after the newer one")
 def _(context):
     world = context.first.world
-    told = context.first.tell()
+    report = context.first.usage()
     world.clock.advance(0.1)
-    context.second.hear(told)
+    context.second.receive(report)
 
 
-@then("the second entry sends what it likes")
+@then("the second entry sends without a limit")
 def _(context):
     assert all(context.second.send() for _ in range(20))
 
 
-@when("an entry has used up a limit of 0 at one upstream and of 4 at another")
+@when(
+    "an entry has exhausted a limit of 0 at one upstream and of 4 at another"
+)
 def _(context):
     context.reactor, context.clock = task.Clock(), clock.FakeClock()
     context.woken = []
@@ -156,23 +162,23 @@
         assert made.blocks(start), start
 
 
-@then("those that wait at it look again within {seconds:g} s")
+@then("its queued requests are retried within {seconds:g} s")
 def _(context, seconds):
     context.reactor.advance(seconds)
     assert context.woken, seconds
 
 
-@when("the worker names a limit of {limit:d} requests a second")
+@when("the worker states a limit of {limit:d} requests per second")
 def _(context, limit):
     context.cluster.name_limit("w1", str(limit))
 
 
-@when("the worker names no limit any more")
+@when("the worker lifts its limit")
 def _(context):
     context.cluster.name_limit("w1", "")
 
 
-@when("all entries are asked for 10 times that for {seconds:g} s")
+@when("all entries together receive 10 times that rate for {seconds:g} s")
 def _(context, seconds):
     made = context.cluster
     context.began_at = time.monotonic()
@@ -192,31 +198,31 @@
 
 
 def _arrivals(context):
-    """Return when requests reached the worker, from the first second on."""
+    """Return the arrival times at the worker after the first second."""
     reached = context.cluster.worker("w1")["reached"]
     since = context.began_at + 1.0
     return [row["at"] for row in reached if row["id"] and row["at"] >= since]
 
 
 @then(
-    "no 4 s after the first second see more than {most:d} requests at the "
-    "worker"
+    "no window of 4 s after the first second has more than {max_requests:d} "
+    "requests at the worker"
 )
-def _(context, most):
+def _(context, max_requests):
     arrivals = _arrivals(context)
     windows = [
         sum(at <= other < at + model.WINDOW_S for other in arrivals)
         for at in arrivals
     ]
-    assert max(windows) <= most, windows
+    assert max(windows) <= max_requests, windows
 
 
-@then("at least {least:d} requests reach the worker after the first second")
-def _(context, least):
-    assert len(_arrivals(context)) >= least, len(_arrivals(context))
+@then("at least {count:d} requests reach the worker after the first second")
+def _(context, count):
+    assert len(_arrivals(context)) >= count, len(_arrivals(context))
 
 
-@then("those refused were refused at once, as not run, with when to come back")
+@then("the others were refused immediately as not run, with a Retry-After")
 def _(context):
     refused = [row for row in context.answers if not row[0].is_success]
     assert len(refused) > 100, len(refused)
@@ -224,7 +230,7 @@
         assert answer.status_code in (429, 503), answer
         assert float(answer.headers["retry-after"]) > 0, answer.headers
     times = sorted(seconds for _, seconds in refused)
-    assert times[len(times) // 2] < AT_ONCE_S, times[len(times) // 2]
+    assert times[len(times) // 2] < IMMEDIATE_S, times[len(times) // 2]
 
 
 @then('entry "{name}" serves {count:d} requests within {seconds:g} s')
--- a/features/steps/replay_steps.py
+++ b/features/steps/replay_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay traces against the pure decisions."""
+"""Steps that replay traces against models of the protocols."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -24,7 +24,7 @@
 TRACES = pathlib.Path(__file__).parent.parent / "traces"
 FAULTS = (
     configlog.StateMismatchError,
-    exchange.ToldWrongError,
+    exchange.WrongOutcomeError,
     lockstep.MixedStepError,
     oncekeys.DoubleRunError,
     relayout_engine.MixedLayoutsError,
@@ -63,7 +63,7 @@
 )
 def _(context, generated, seeded, model):
     context.ran = 0
-    context.broken = None
+    context.violation = None
 
     @hypothesis.settings(
         derandomize=True,
@@ -82,22 +82,22 @@
         for seed in range(seeded):
             context.ran += 1
             _run(_world(model, ranks=2 + seed % 3), _seeded(seed))
-    except FAULTS as broken:
-        context.broken = broken
+    except FAULTS as violation:
+        context.violation = violation
 
 
-@then("none breaks the promise")
+@then("no trace violates the invariant")
 def _(context):
-    assert context.broken is None, repr(context.broken)
+    assert context.violation is None, repr(context.violation)
     assert context.ran >= 1500, context.ran
 
 
-def _kept(model, rules):
+def _recorded(model, rules):
     name = f"{model}-{rules.replace(' ', '-')}.json"
     return json.loads((TRACES / name).read_text())
 
 
-def _breaks(context, rules):
+def _violates(context, rules):
     trace = context.trace
     world = _world(context.model, rules, trace.get("ranks", 3))
     try:
@@ -107,20 +107,20 @@
     return False
 
 
-@when("the kept trace of the {model} model {rules} runs")
+@when("the recorded trace of the {model} model {rules} is replayed")
 def _(context, model, rules):
     context.model, context.rules = model, rules
-    context.trace = _kept(model, rules)
+    context.trace = _recorded(model, rules)
 
 
-@then("it breaks the promise")
+@then("it violates the invariant")
 def _(context):
-    assert _breaks(context, context.rules)
+    assert _violates(context, context.rules)
 
 
 @then("the same trace with the rules as built does not")
 def _(context):
-    assert not _breaks(context, "as built")
+    assert not _violates(context, "as built")
 
 
 @when("{count:d} seeded traces of the {model} model run and faults cease")
@@ -132,6 +132,6 @@
     context.stuck = [world for world in worlds if not world.settle()]
 
 
-@then("every group ends on the layout wanted")
+@then("every group converges to the target layout")
 def _(context):
     assert context.stuck == [], context.stuck[0].ranks
--- a/features/steps/schedule_steps.py
+++ b/features/steps/schedule_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what the holder of a group makes of its ranks' replies."""
+"""Steps on how the holder of a group processes replies of ranks."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -12,42 +12,41 @@
 
 from features import platform_clients as clients
 
-WANTED = 1
+TARGET = 1
 FENCE = 7
-# Rounds within which ranks that all answer must all be known; a holder takes
-# one each 0.2 s.
-MOST_ROUNDS = 10
+# Rounds within which the holder must have the state of every rank.
+MAX_ROUNDS = 10
 
 
-def _blank(name):
+def _empty(name):
     return lockstep.Rank(incarnation=name)
 
 
 def _rounds(starts):
-    """Return the rounds until no rank is asked for its state any more.
+    """Return the number of rounds until no rank is probed any more.
 
     Args:
-      starts: Round from which on each rank answers, by its name; all of
-        them hold nothing.
+      starts: First round in which each rank answers, by name; all ranks are
+        empty.
     """
     members = frozenset(starts)
     seen = {}
-    for number in range(max(starts.values()) + MOST_ROUNDS):
+    for number in range(max(starts.values()) + MAX_ROUNDS):
         plan = schedule.plan_round(
-            seen, members, target=WANTED, fence=FENCE, seq=number
+            seen, members, target=TARGET, fence=FENCE, seq=number
         )
         probes = lockstep.Probe
         if not all(type(item) is probes for item in plan.orders.values()):
             return number
         replies = {
-            name: _blank(name) if number >= starts[name] else None
+            name: _empty(name) if number >= starts[name] else None
             for name in plan.orders
         }
         seen = schedule.merge_replies(seen, replies)
     return None
 
 
-@when("ranks that hold nothing first answer in different rounds")
+@when("empty ranks first answer in different rounds")
 def _(context):
     context.stuck = []
     rows = strategies.lists(strategies.integers(0, 4), min_size=1, max_size=5)
@@ -63,6 +62,6 @@
     play()
 
 
-@then("the holder knows all of them in a few rounds")
+@then("the holder has the state of all of them within a few rounds")
 def _(context):
     assert context.stuck == [], context.stuck[:3]
--- a/features/steps/suspects_steps.py
+++ b/features/steps/suspects_steps.py
@@ -14,92 +14,93 @@
 from features.models import suspects as model
 from standins import fleet, process
 
-MOST_RETRIES = 3
+MAX_REACHED = 3
 PATH = "/chat/crash/1"
 BODY = b"the same each time"
 
 
-def _take_nothing(self, message):
-    """Hear nothing of other entries."""
+def _ignore_peers(self, message):
+    """Ignore the records of other entries."""
 
 
 FAULTS = {
-    "judging by numbers": (
+    "counting crashes only": (
         suspicion,
         "_is_convicted",
         lambda record, *, only: len(record.crashed) >= 2,
     ),
-    "telling others": (suspects.Suspects, "apply", _take_nothing),
+    "sharing records": (suspects.Suspects, "apply", _ignore_peers),
     "convicting": (suspicion, "_is_convicted", lambda record, *, only: False),
 }
 
 
 def _play(context, count):
-    context.guilty, context.innocent = [], []
+    context.crashing, context.innocent = [], []
     for seed in range(count):
         for caller in model.play(seed).callers:
-            rows = context.guilty if caller.guilty else context.innocent
+            rows = context.crashing if caller.crashing else context.innocent
             rows.append(caller)
 
 
-@when("{count:d} traces of requests that crash upstreams are played")
+@when("{count:d} traces of requests that crash upstreams are replayed")
 def _(context, count):
     _play(context, count)
 
 
 @when(
-    "{count:d} traces of requests that crash upstreams are played with a "
+    "{count:d} traces of requests that crash upstreams are replayed with a "
     "fault in {fault}"
 )
 def _(context, count, fault):
-    holder, name, function = FAULTS[fault]
-    with mock.patch.object(holder, name, function):
+    target, name, function = FAULTS[fault]
+    with mock.patch.object(target, name, function):
         _play(context, count)
 
 
 def _worst(context):
-    return max(model.retries_after_third(c) for c in context.guilty)
+    return max(model.reached_after_third_crash(c) for c in context.crashing)
 
 
 @then(
-    "none that crashes upstreams reaches more than three after its third crash"
+    "no crashing request reaches more than three upstreams after its third "
+    "crash"
 )
 def _(context):
-    assert _worst(context) <= MOST_RETRIES, _worst(context)
+    assert _worst(context) <= MAX_REACHED, _worst(context)
 
 
-@then("each of them is convicted")
+@then("every crashing request is convicted")
 def _(context):
-    assert all(caller.refused for caller in context.guilty)
+    assert all(caller.refused for caller in context.crashing)
 
 
-@then("no other is ever refused as one, and all are answered")
+@then("no innocent request is refused and all are answered")
 def _(context):
     assert not any(caller.refused for caller in context.innocent)
     assert all(caller.done for caller in context.innocent)
 
 
 @then(
-    "one that crashes upstreams reaches more than three after its third "
-    "crash, or an innocent one is refused"
+    "a crashing request reaches more than three upstreams after its third "
+    "crash, or an innocent request is refused"
 )
 def _(context):
     refused = any(caller.refused for caller in context.innocent)
-    assert refused or _worst(context) > MOST_RETRIES
+    assert refused or _worst(context) > MAX_REACHED
 
 
-class Place:
-    """What a connection to the upstream comes to."""
+class Endpoint:
+    """Endpoint of which connections have a fixed outcome."""
 
     def __init__(self, outcome):
         self.outcome = outcome
 
     def connect(self, factory):
-        """Open one, or not."""
+        """Open a connection, or fail."""
         if self.outcome is None:
-            made = protocol.Protocol()
-            made.transport = mock.Mock()
-            return defer.succeed(made)
+            opened = protocol.Protocol()
+            opened.transport = mock.Mock()
+            return defer.succeed(opened)
         return defer.fail(self.outcome)
 
 
@@ -110,7 +111,7 @@
 }
 
 
-@when("an exchange with an upstream breaks that {state}")
+@when("an exchange breaks with an upstream that {state}")
 def _(context, state):
     first, _, outcome = state.partition(" and ")
     reactor = task.Clock()
@@ -132,15 +133,17 @@
                 restarted=lambda _: first == "has started again",
             ),
             open_connections=lambda _: int(
-                first == "has other connections to us open"
+                first == "has other open connections"
             ),
         ),
         on_update=lambda: None,
     )
-    context.asked = model.Caller(1, guilty=False).call()
-    place = Place(OUTCOMES.get(outcome, error.ConnectionRefusedError()))
+    context.asked = model.Caller(1, crashing=False).call()
+    endpoint = Endpoint(OUTCOMES.get(outcome, error.ConnectionRefusedError()))
     with mock.patch.object(
-        crash_evidence.endpoints, "TCP4ClientEndpoint", lambda *_, **__: place
+        crash_evidence.endpoints,
+        "TCP4ClientEndpoint",
+        lambda *_, **__: endpoint,
     ):
         context.suspects.record_lost(context.asked, upstream, running=3)
         reactor.advance(suspects.CRASH_CHECK_DELAY_S)
@@ -153,7 +156,7 @@
 
 
 def _controller(context):
-    """Make one that a test calls by hand, and a request."""
+    """Create a controller without a reactor, and a request."""
     context.clock = clock.FakeClock(start=50.0)
     context.suspects = suspects.Suspects(
         reactor=None,
@@ -161,25 +164,28 @@
         evidence=None,
         on_update=lambda: None,
     )
-    context.asked = model.Caller(1, guilty=True).call()
+    context.asked = model.Caller(1, crashing=True).call()
 
 
-def _crash_alone(context, number):
+def _crash_as_sole_request(context, number):
     start = announcement.Start(f"u{number}", None)
     losses = [suspects.Loss(context.asked, 1)]
     context.suspects._record_crash(start, losses)
 
 
-@when("a request is at a crash, ends well, and is at three more crashes")
+@when(
+    "a request is running at a crash, completes, and is running at three more "
+    "crashes"
+)
 def _(context):
     _controller(context)
-    _crash_alone(context, 0)
+    _crash_as_sole_request(context, 0)
     context.suspects.record_success(context.asked)
     for number in range(1, 4):
-        _crash_alone(context, number)
+        _crash_as_sole_request(context, number)
 
 
-@then("it may go anywhere")
+@then("it is neither isolated nor refused")
 def _(context):
     assert context.suspects.convicted_s(context.asked) == 0
     assert not context.suspects.lookup(context.asked).isolated
@@ -189,10 +195,10 @@
 def _(context):
     _controller(context)
     for number in range(2):
-        _crash_alone(context, number)
+        _crash_as_sole_request(context, number)
 
 
-@then("it is sent nowhere for {seconds:d} s, and then again")
+@then("it is refused for {seconds:d} s and then admitted")
 def _(context, seconds):
     assert context.suspects.convicted_s(context.asked) == seconds
     context.clock.advance(seconds - 1)
@@ -225,8 +231,8 @@
 
 
 @when(
-    "a request that crashes workers is sent to one entry after the other, "
-    "{times:d} times"
+    "a request that crashes workers is sent to the entries in turn, {times:d} "
+    "times"
 )
 def _(context, times):
     context.answers = []
@@ -234,30 +240,29 @@
         entry = f"f{1 + number % context.count}"
         answer = _ask(context, entry)
         context.answers.append(answer)
-        # Entries look for 0.05 s, and tell each other within 0.1 s.
-        _wait_told(context)
+        _wait_until_reported(context)
 
 
 def _crashed(made):
     return [n for n in made.workers if not made.processes[n].running]
 
 
-def _wait_told(context):
-    """Wait until each crash so far stands in some entry's log."""
+def _wait_until_reported(context):
+    """Wait until all entries have recorded each crash so far."""
     made = context.cluster
 
-    def told():
+    def logged():
         rows = [r for name in made.http for r in made.log_lines(name)]
         text = "An upstream has crashed; what ran there is suspected."
         found = {r["upstream"] for r in rows if r["text"] == text}
         return found >= set(_crashed(made))
 
-    process.wait_for(told, "crashes to be noticed")
-    process.wait_for(lambda: _all_know(made), "entries to hear of it")
+    process.wait_for(logged, "crashes to be logged")
+    process.wait_for(lambda: _all_know(made), "entries to share the crashes")
 
 
 def _all_know(made):
-    """Tell whether each entry knows of as many crashes as there were."""
+    """Return whether each entry has recorded every crash."""
     return all(
         _crashes_known(made, n) == len(_crashed(made)) for n in made.http
     )
@@ -268,23 +273,20 @@
     return max((row.get("crashes", 0) for row in rows), default=0)
 
 
-@then("{least:d} or {most:d} workers have crashed")
-def _(context, least, most):
+@then("{fewest:d} or {most:d} workers have crashed")
+def _(context, fewest, most):
     crashed = _crashed(context.cluster)
-    assert least <= len(crashed) <= most, crashed
+    assert fewest <= len(crashed) <= most, crashed
 
 
-@then(
-    "the last {count:d} of the answers say that it has not run, with when to "
-    "come back"
-)
+@then("the last {count:d} answers say that it has not run, with a Retry-After")
 def _(context, count):
     for answer in context.answers[-count:]:
         assert answer.status_code == 503, context.answers
         assert float(answer.headers["retry-after"]) > 60, answer.headers
 
 
-@when("the crashed workers are back")
+@when("the crashed workers are restarted")
 def _(context):
     made = context.cluster
     for name in _crashed(made):
@@ -294,7 +296,7 @@
         )
 
 
-@then("it reaches no worker at any entry")
+@then("every entry refuses it and no worker crashes")
 def _(context):
     made = context.cluster
     for entry in made.http:
@@ -302,7 +304,7 @@
     assert _crashed(made) == []
 
 
-@then("another request of that caller is answered at each entry")
+@then("another request of the same caller is answered at each entry")
 def _(context):
     for entry in context.cluster.http:
         process.wait_for(
@@ -311,7 +313,7 @@
         )
 
 
-@then("an entry that starts now refuses it too")
+@then("a newly started entry refuses it too")
 def _(context):
     made = context.cluster
     made.processes["f1"].kill()
@@ -323,13 +325,13 @@
             row.get("verdict") == "convicted"
             for row in made.log_lines("f1")[began:]
         ),
-        "what the others tell",
+        "records from the other entries",
     )
     assert _ask(context, "f1").status_code == 503
     assert _crashed(made) == []
 
 
-@then("the log of an entry says which starts it has crashed")
+@then("the entries log the conviction and the refusals")
 def _(context):
     made = context.cluster
     rows = [row for name in made.http for row in made.log_lines(name)]
