--- a/features/models/shedding.py
+++ b/features/models/shedding.py
@@ -1,9 +1,9 @@
-"""Replays the requests of one entry to upstreams that shed load.
+"""Simulates requests of one entry to upstreams that shed load.
 
-The entry's own chain from the queue on, its list and its attempts are the
-real ones; connections, upstreams and time are played.  Upstreams refuse all
-that arrives for some seconds and name a backoff, break streams off, leave,
-are listed anew and start again; connections take up to a second to open.
+Runs the entry's real queue, attempts and list of upstreams over simulated
+connections, upstreams and time.  Upstreams refuse requests with a Retry-After,
+break streams off, leave, are listed again and restart; connections take up to
+a second to open.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -34,12 +34,12 @@
 
 STEP_S = 0.05
 TARGET = "read"
-# What was on its way when an upstream asked may still arrive, by the
-# platform's statement: this late, in seconds, and so many requests.
-ON_ITS_WAY_S = 0.5
-ON_ITS_WAY = 2
-# A request may go to an upstream that leaves if its caller sent it no later
-# than this after the entry was told, by the platform's statement, in seconds.
+# The platform allows requests in transit to arrive after a refusal, within
+# this time and up to this number.
+IN_TRANSIT_S = 0.5
+MAX_IN_TRANSIT = 2
+# The platform allows requests to a leaving upstream if the caller sent them
+# within this time after the entry was notified.
 DRAIN_S = 2.0
 READ = route.Route(
     name="r1",
@@ -51,7 +51,7 @@
     attempts=2,
 )
 STREAM = READ._replace(name="r2", kind=route.STREAM, resumable=True)
-FIRST_BORN_MS = 1
+FIRST_START_MS = 1
 
 
 class World:
@@ -60,21 +60,21 @@
     def __init__(
         self, *, seed: int, count: int, slow_share: float = 0.2
     ) -> None:
-        """Make it.
+        """Create the world.
 
         Args:
-          seed: Of all that happens by chance.
+          seed: Seed of the random generator.
           count: Number of upstreams.
-          slow_share: The part of connections that take long to open.
+          slow_share: Fraction of connections that are slow to open.
         """
         self._slow_share = slow_share
         self.random = random.Random(seed)
-        # The list's pauses are drawn from the module's own generator.
+        # The poll intervals of the list use the module's generator.
         random.seed(seed)
         self.listing = fakes.Listing()
         self.clock, self.reactor = self.listing.clock, self.listing.reactor
         self.upstreams: dict[str, played.Upstream] = {}
-        self.over: list[played.Upstream] = []
+        self.ended: list[played.Upstream] = []
         self.calls: list[call.Call] = []
         self.refusals: list[error.CodedError] = []
         self.faults: list[Any] = []
@@ -107,20 +107,20 @@
             suspects=_NoSuspects(),
         )
 
-    # The upstreams.
+    # Upstreams.
 
     def start_upstream(self, name: str) -> None:
-        """Start an upstream, maybe again under its id."""
-        born_ms = FIRST_BORN_MS
+        """Start or restart an upstream."""
+        born_ms = FIRST_START_MS
         if name in self.upstreams:
             old = self.upstreams[name]
-            self.over.append(old)
+            self.ended.append(old)
             born_ms = max(old.born_ms + 1, int(self.clock.wall() * 1000))
         self.upstreams[name] = played.Upstream(name=name, born_ms=born_ms)
         self.announce(name)
 
     def announce(self, name: str, **fields: Any) -> None:
-        """List an upstream as it is."""
+        """Publish an upstream in the list."""
         born_ms = self.upstreams[name].born_ms
         number = int(name[1:])
         addr = f"10.0.0.{number}:80"
@@ -128,33 +128,33 @@
         self.listing.write(name, fakes.entry(**data))
 
     def upstream_at(self, address: str) -> played.Upstream:
-        """Return the start of an upstream that listens at an address."""
+        """Return the current start of the upstream at an address."""
         return self.upstreams[f"w{address.split('.')[3].split(':')[0]}"]
 
-    # The entry's connections.
+    # Connections.
 
     async def acquire(self, address: str, **_: Any) -> played.Connection:
-        """Open a connection, at times slowly."""
+        """Open a connection, sometimes slowly."""
         slow = self.random.random() < self._slow_share
         await self.later(self.random.uniform(0.0, 1.1) if slow else 0.0)
         return played.Connection(self, address)
 
     def release(self, _used: played.Connection) -> None:
-        """Keep none."""
+        """Keep no idle connections."""
 
     def close_idle(self, _address: str) -> None:
-        """Have none to close."""
+        """Do nothing; there are no idle connections."""
 
     def later(self, seconds: float) -> defer.Deferred:
-        """Return what fires after some seconds."""
+        """Return a deferred that fires after some seconds."""
         waits = defer.Deferred()
         self.reactor.callLater(seconds, waits.callback, None)
         return waits
 
-    # The callers.
+    # Callers.
 
     def ask(self, found: route.Route, *, wait_s: float = 0.5) -> call.Call:
-        """Have a caller ask."""
+        """Send a request of a caller."""
         now = self.clock.now
         number = f"{len(self.calls):016x}"
         asked = call.Call(
@@ -192,52 +192,52 @@
         finally:
             self.given.release(asked)
 
-    # Time, and what is checked.
+    # Time and checks.
 
     def step(self) -> None:
-        """Let a little time pass."""
+        """Advance by one time step."""
         self.clock.advance(STEP_S)
         self.reactor.advance(STEP_S)
 
     def pass_time(self, seconds: float) -> None:
-        """Let some time pass."""
+        """Advance by some seconds."""
         for _ in range(round(seconds / STEP_S)):
             self.step()
 
-    def unwanted(self) -> int:
-        """Return the most arrivals beyond what was on its way, of any ask."""
+    def max_early_arrivals(self) -> int:
+        """Return the maximum number of disallowed arrivals in a backoff."""
         worst = 0
-        for item in (*self.upstreams.values(), *self.over):
-            for at, until in item.asks:
+        for item in (*self.upstreams.values(), *self.ended):
+            for at, until in item.backoffs:
                 early = [
                     arrival
                     for arrival in item.arrivals
-                    if at + ON_ITS_WAY_S < arrival < until
+                    if at + IN_TRANSIT_S < arrival < until
                 ]
-                worst = max(worst, len(early) - ON_ITS_WAY)
+                worst = max(worst, len(early) - MAX_IN_TRANSIT)
         return worst
 
-    def after_leaving(self) -> int:
-        """Return the most requests to an upstream known to be leaving."""
+    def max_late_arrivals(self) -> int:
+        """Return the maximum number of late requests to a leaving upstream."""
         return max(
-            sum(at > item.told_at + DRAIN_S for at in item.asked_at)
-            for item in (*self.upstreams.values(), *self.over)
+            sum(at > item.notified_at + DRAIN_S for at in item.requested_at)
+            for item in (*self.upstreams.values(), *self.ended)
         )
 
 
 class _NoSuspects:
-    """Suspects nobody."""
+    """A controller without suspects."""
 
     def convicted_s(self, _asked: call.Call) -> float:
-        """Clear every request."""
+        """Admit every request."""
         return 0.0
 
     def isolate(self, _asked: call.Call, candidates: list) -> list:
-        """Leave the choice as it is."""
+        """Return all candidates."""
         return candidates
 
     def ignore(self, *_: Any, **__: Any) -> None:
-        """Take what happens to a request."""
+        """Ignore events of a request."""
 
     begin = end = record_success = record_lost = ignore
 
@@ -247,42 +247,42 @@
 
 
 def play(seed: int, *, events: tuple[str, ...] = SHEDDING) -> World:
-    """Play one generated trace of some 10 s, in which such events happen."""
-    made = random.Random(seed)
-    world = World(seed=seed, count=made.choice((1, 2, 3, 6)))
+    """Run one generated trace of about 10 s with the given events."""
+    source = random.Random(seed)
+    world = World(seed=seed, count=source.choice((1, 2, 3, 6)))
     names = list(world.upstreams)
     for _ in range(int(10 / STEP_S)):
-        if made.random() < 0.05:
-            _happen(world, made.choice(events), made.choice(names))
-        for _ in range(made.choice((0, 1, 1, 4))):
-            found = made.choice((READ, STREAM))
-            world.ask(found, wait_s=made.choice((0.1, 2.0)))
+        if source.random() < 0.05:
+            _apply_event(world, source.choice(events), source.choice(names))
+        for _ in range(source.choice((0, 1, 1, 4))):
+            found = source.choice((READ, STREAM))
+            world.ask(found, wait_s=source.choice((0.1, 2.0)))
         world.step()
     world.pass_time(6.0)
     return world
 
 
 def play_all(count: int, *, events: tuple[str, ...] = SHEDDING) -> list[World]:
-    """Play so many traces, none of which ends by a fault of ours."""
+    """Run traces and check that none raised an unexpected error."""
     worlds = [play(seed, events=events) for seed in range(count)]
     assert not any(world.faults for world in worlds)
     return worlds
 
 
-def _happen(world: World, event: str, name: str) -> None:
-    """Have something happen to an upstream."""
-    found = world.upstreams[name]
+def _apply_event(world: World, event: str, name: str) -> None:
+    """Apply an event to an upstream."""
+    upstream = world.upstreams[name]
     match event:
         case "shed":
-            found.retry_after_s = world.random.choice((0.7, 1.5, 3.0))
+            upstream.retry_after_s = world.random.choice((0.7, 1.5, 3.0))
         case "recover":
-            found.retry_after_s = None
+            upstream.retry_after_s = None
         case "relist":
             world.listing.write(name, None)
             world.reactor.callLater(
                 world.random.uniform(0.1, 1.0), world.announce, name
             )
         case "leave":
-            found.leaving = True
+            upstream.leaving = True
         case "restart":
             world.start_upstream(name)
--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -22,8 +22,8 @@
 COUNTS = {"one": 1, "two": 2, "three": 3}
 # What was sent before the refusal was read may arrive this much later, in
 # seconds, and be so many requests; both are stated by the platform.
-ON_ITS_WAY_S = model.ON_ITS_WAY_S
-ON_ITS_WAY = model.ON_ITS_WAY
+ON_ITS_WAY_S = model.IN_TRANSIT_S
+ON_ITS_WAY = model.MAX_IN_TRANSIT
 
 
 @given('a fleet of {count} workers of "{service}"')
@@ -88,12 +88,12 @@
 def _play(context, count):
     worlds = model.play_all(count)
     asks = [
-        len(item.asks)
+        len(item.backoffs)
         for world in worlds
-        for item in (*world.upstreams.values(), *world.over)
+        for item in (*world.upstreams.values(), *world.ended)
     ]
     assert sum(asks) > count, "hardly any upstream shed load"
-    context.worst = max(world.unwanted() for world in worlds)
+    context.worst = max(world.max_early_arrivals() for world in worlds)
 
 
 @when("{count:d} traces of upstreams that shed load are played")
@@ -134,7 +134,7 @@
         item.retry_after_s = float(seconds)
     world.ask(model.READ)
     world.pass_time(0.4)
-    asks = [item.asks for item in world.upstreams.values()]
+    asks = [item.backoffs for item in world.upstreams.values()]
     assert all(len(rows) == 1 for rows in asks), asks
 
 
@@ -167,7 +167,7 @@
     world = context.world
     world.pass_time(10.0)
     (item,) = world.upstreams.values()
-    (refused_at, _), arrived_at = item.asks[0], item.arrivals[-1]
+    (refused_at, _), arrived_at = item.backoffs[0], item.arrivals[-1]
     assert context.asked.http.status == 200, context.asked
     late_s = arrived_at - refused_at - seconds
     assert 0 <= late_s < 0.2, late_s
@@ -241,7 +241,7 @@
         world.pass_time(0.4)
         if asked.code == "upstream-503":
             return
-        assert not any(u.asks for u in world.upstreams.values()), asked
+        assert not any(u.backoffs for u in world.upstreams.values()), asked
     raise AssertionError("no request was refused by both")
 
 
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -39,7 +39,7 @@
 
 def _play(context, count):
     worlds = shedding.play_all(count, events=shedding.LEAVING)
-    context.worst = max(world.after_leaving() for world in worlds)
+    context.worst = max(world.max_late_arrivals() for world in worlds)
 
 
 @when("{count:d} traces of upstreams that leave are played")
--- a/features/steps/suspension_beliefs_steps.py
+++ b/features/steps/suspension_beliefs_steps.py
@@ -128,7 +128,7 @@
         evidence=None,
         on_update=lambda: None,
     )
-    asked = suspects_model.Caller(1, guilty=True).call()
+    asked = suspects_model.Caller(1, crashing=True).call()
     for number in range(2):
         start = announcement.Start(f"u{number}", None)
         controller._record_crash(start, [suspects.Loss(asked, 1)])
