--- a/features/config_calls.py
+++ b/features/config_calls.py
@@ -1,4 +1,4 @@
-"""What steps on configuration share: changes, restarts and calls."""
+"""Helpers of the steps on the configuration: changes, restarts and calls."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -8,26 +8,26 @@
 from standins import cluster, load
 
 
-def weight(name, weight):
+def put_weight(name, weight):
     """Return a change of a workspace's weight."""
     row = {"name": name, "key": f"key-of-{name}", "targets": ["codes"]}
     return {"kind": "put-workspace", "weight": weight, **row}
 
 
-def serve(made, number):
-    """Have an entry, by its number, serve a call; return what came."""
+def call(made, number):
+    """Call an entry, by its number; return the result."""
     return load.send(made, made.entries[number][0], path="/free")
 
 
 def restart(made, name):
-    """Kill a process, start it again and wait until it lives."""
+    """Kill a process, start it again and wait until it is up."""
     made.processes[name].kill()
     made.processes[name].start()
     cluster.wait_for(lambda: made._live(name), name)
 
 
-def give_peers(made, name, peers):
-    """Put peers to ask into a process's settings file."""
+def set_peers(made, name, peers):
+    """Set the peers in the settings file of a process."""
     path = made.dir / f"{name}.json"
     data = json.loads(path.read_text())
     data["peers"] = [made.peer[peer] for peer in peers]
--- a/features/product.feature
+++ b/features/product.feature
@@ -1,20 +1,20 @@
-Feature: The parts of a product
+Feature: Packages, command line, logs and reference pages
 
-  Scenario: Every fault of a settings file is reported at once
+  Scenario: All faults of a settings file are reported together
     When a settings file with 4 faults is checked
-    Then the command exits with 2 and names all 4 places
+    Then the command exits with 2 and names all 4 faults
 
-  Scenario: The reference pages are true to the code
-    Then the settings page is what the schema makes
-    And the metrics page names exactly the metrics of a process
+  Scenario: The reference pages match the code
+    Then the settings page is generated from the schema
+    And the metrics page lists exactly the metrics of a process
 
-  Scenario: The core stands alone
+  Scenario: Packages import only the layers below them
     Then no module of the core imports the reactor or the wire
-    And no package imports one that stands above it
+    And no package imports one of a higher layer
 
-  Scenario: Metrics keep their label sets bounded
+  Scenario: The number of metric labels is bounded
     When 26000 workspaces are counted
-    Then no more than 65 labels are used
+    Then at most 65 labels are used
 
   Scenario: The command line plans, confirms and explains
     Given a shared cluster
@@ -24,26 +24,26 @@
     Then the command exits with 0
     And the status shows it in force everywhere
 
-  Scenario Outline: Exit codes tell what happened: <case>
+  Scenario Outline: The exit code states the kind of failure: <case>
     Given a shared cluster
     When the command line meets <case>
     Then the command exits with <status>
-    And its error names a code, a step and what to do
+    And its error names a code, a step and a next action
 
     Examples:
       | case                     | status |
-      | an entry that is not up  | 1      |
-      | a faulty intent          | 2      |
-      | a plan nobody made       | 3      |
+      | an unreachable entry     | 1      |
+      | an invalid intent        | 2      |
+      | an unknown plan          | 3      |
 
-  Scenario: Bytes that are no message do no harm
+  Scenario: Invalid messages do not affect a process
     Given a shared cluster
     When 150 connections send random bytes to an entry's and an agent's peer port
     Then both still serve
 
-  Scenario: Documents that are no settings or intents are refused with a code
+  Scenario: Invalid documents are refused with a code
     When 200 generated documents are read as settings, intents and records
-    Then each is either taken or refused with a coded error
+    Then each is either accepted or refused with a coded error
 
   Scenario: Logs can be JSON lines
     Given a cluster of its own that logs JSON
@@ -52,8 +52,8 @@
   Scenario: A rebalance levels the ranks of a hot group
     Given a cluster of its own with engines 2
     When callers make some experts hot and a rebalance is confirmed
-    Then the plan said that the skew would fall
-    And the skew that the engines see falls
+    Then the plan predicted a lower skew
+    And the skew measured by the engines is lower
     And no step ran on two layouts
 
   Scenario: No other program is given a datagram port of a cluster before it starts
@@ -62,7 +62,7 @@
     Then the program is refused each of them
     And the cluster comes up
 
-  Scenario: A set-up names the engine that has ended
+  Scenario: A failed start of a cluster names the engine that has exited
     Given a cluster with engines 2 that is laid out and not started
     When one of its engines cannot start
     Then the cluster does not come up, and says which process has ended
--- a/features/steps/config_halls_steps.py
+++ b/features/steps/config_halls_steps.py
@@ -1,9 +1,8 @@
-"""Steps on configuration in halls that are cut off."""
+"""Steps on the configuration in partitioned halls."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
 
-
 from behave import then, when
 
 from features import config_calls as calls
@@ -15,7 +14,7 @@
     return [name for name, where in names if where == hall]
 
 
-@when('hall "{hall}" is cut off from the other hall and the platform')
+@when('hall "{hall}" is partitioned from the other hall and the platform')
 def _(context, hall):
     made = context.cluster
     context.before = made.offsets()
@@ -27,18 +26,18 @@
         made.cut(name, inside)
 
 
-@when('the operator changes something in hall "{hall}"')
+@when('the operator makes a change in hall "{hall}"')
 def _(context, hall):
     made = context.cluster
     entry = next(n for n in _in_hall(made, hall) if n in dict(made.entries))
-    context.offset = made.change([calls.weight("meanwhile", 3)], entry)
+    context.offset = made.change([calls.put_weight("meanwhile", 3)], entry)
 
 
 @then("callers in both halls are served")
 def _(context):
     for number in range(len(context.cluster.entries)):
-        told = [calls.serve(context.cluster, number) for _ in range(10)]
-        counts = load.outcomes(told)
+        results = [calls.call(context.cluster, number) for _ in range(10)]
+        counts = load.outcomes(results)
         assert counts.get("ran", 0) >= 9, counts
         assert set(counts) <= {"ran", "not-run"}, counts
 
@@ -51,7 +50,7 @@
         assert context.before[name] <= offsets[name] < context.offset, name
 
 
-@then("it catches up within {seconds:d} s of the end of the cut")
+@then("it catches up within {seconds:d} s after the partition ends")
 def _(context, seconds):
     made = context.cluster
     for name in made.http:
@@ -67,7 +66,7 @@
     inside = _in_hall(made, hall)
     other = [name for name, where in made.entries if where != hall]
     for name in inside:
-        calls.give_peers(made, name, other)
+        calls.set_peers(made, name, other)
     made.platform(down=True)
     for name in inside:
         made.processes[name].kill()
@@ -82,7 +81,7 @@
     made = context.cluster
     number = [where for _, where in made.entries].index(hall)
     cluster.wait_for(
-        lambda: calls.serve(made, number).outcome == "ran", "an answer"
+        lambda: calls.call(made, number).outcome == "ran", "an answer"
     )
     for name in _in_hall(made, hall):
         assert made.offset(name) >= context.offset, name
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration under outages of the platform."""
+"""Steps on the configuration during outages of the platform."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -22,7 +22,8 @@
 
 
 @when(
-    "{count:d} pairs of conflicting plans are confirmed at once from two halls"
+    "{count:d} pairs of conflicting plans are confirmed concurrently from two "
+    "halls"
 )
 def _(context, count):
     made = context.cluster
@@ -30,7 +31,9 @@
     context.pairs = []
     for number in range(count):
         plans = [
-            made.plan([calls.weight("raced", number * 2 + side + 1)], entry)
+            made.plan(
+                [calls.put_weight("raced", number * 2 + side + 1)], entry
+            )
             for side, entry in enumerate(entries)
         ]
         ids = [plan.json()["id"] for plan in plans]
@@ -52,13 +55,13 @@
 
 
 def _wait_planned(made, entry, ids):
-    def known():
+    def planned():
         with made.operator(entry) as operator:
             return all(
                 operator.get(f"/plans/{item}").is_success for item in ids
             )
 
-    cluster.wait_for(known, f"plans at {entry}")
+    cluster.wait_for(planned, f"plans at {entry}")
 
 
 @then("of each pair exactly one is accepted")
@@ -68,15 +71,15 @@
         assert codes == [200, 409], [answer.text for answer in pair]
 
 
-@then("the loser's error names what overtook it")
+@then("the error of the refused plan names the conflicting object")
 def _(context):
     for pair in context.pairs:
-        loser = next(a for a in pair if a.status_code == 409)
-        assert loser.json()["code"] == "conflict", loser.text
-        assert "workspace/raced" in loser.json()["detail"], loser.text
+        refused = next(a for a in pair if a.status_code == 409)
+        assert refused.json()["code"] == "conflict", refused.text
+        assert "workspace/raced" in refused.json()["detail"], refused.text
 
 
-@then("all processes come to the same configuration")
+@then("all processes reach the same configuration")
 def _(context):
     made = context.cluster
     last = max(
@@ -97,7 +100,7 @@
 def _(context):
     made = context.cluster
     made.platform(lose_answers=1)
-    plan = made.plan([calls.weight("lost", 5)])
+    plan = made.plan([calls.put_weight("lost", 5)])
     assert plan.is_success, plan.text
     before = made.platform()["appends"]
     made.platform(lose_answers=1)
@@ -105,7 +108,7 @@
     context.appended = made.platform()["appends"] - before
 
 
-@then("the plan is accepted all the same, once")
+@then("the plan is still accepted, exactly once")
 def _(context):
     assert context.answer.is_success, context.answer.text
     assert context.appended == 1, context.appended
@@ -114,16 +117,16 @@
 @when("an operator confirms while the log is down")
 def _(context):
     made = context.cluster
-    context.plan = made.plan([calls.weight("down", 5)]).json()["id"]
+    context.plan = made.plan([calls.put_weight("down", 5)]).json()["id"]
     made.platform(down=True)
     time.sleep(0.3)
     start = time.monotonic()
     with load.Load(
-        [lambda: calls.serve(made, 0), lambda: calls.serve(made, 1)]
+        [lambda: calls.call(made, 0), lambda: calls.call(made, 1)]
     ) as run:
         context.answer = made.confirm(context.plan)
     context.seconds = time.monotonic() - start
-    context.told = run.told
+    context.results = run.told
 
 
 @then(
@@ -137,9 +140,9 @@
     assert context.seconds < seconds, context.seconds
 
 
-@then("callers are served all the while")
+@then("callers are served throughout")
 def _(context):
-    counts = load.outcomes(context.told)
+    counts = load.outcomes(context.results)
     assert set(counts) == {"ran"}, counts
 
 
@@ -150,12 +153,12 @@
     assert answer.is_success, answer.text
 
 
-@when("an entry restarts with nothing while the log is down")
+@when("an entry restarts without state while the log is down")
 def _(context):
     made = context.cluster
     entry = made.entries[0][0]
     context.offset = made.offset(entry)
-    calls.give_peers(made, entry, [made.entries[1][0]])
+    calls.set_peers(made, entry, [made.entries[1][0]])
     made.platform(down=True)
     calls.restart(made, entry)
 
@@ -171,12 +174,10 @@
 @then("it serves callers")
 def _(context):
     made = context.cluster
-    cluster.wait_for(
-        lambda: calls.serve(made, 0).outcome == "ran", "an answer"
-    )
+    cluster.wait_for(lambda: calls.call(made, 0).outcome == "ran", "an answer")
 
 
-@when("an entry restarts with nothing and can ask nobody")
+@when("an entry restarts without state and reaches neither log nor peers")
 def _(context):
     made = context.cluster
     made.platform(down=True)
@@ -184,13 +185,13 @@
     time.sleep(4.0)
 
 
-@then("it is not ready and refuses callers as not run")
+@then("it is not ready and refuses requests as not run")
 def _(context):
     made = context.cluster
     assert not made.ready(made.entries[0][0])
-    told = calls.serve(made, 0)
-    assert (told.status, told.outcome) == (503, "not-run"), told
-    assert told.retry_after
+    result = calls.call(made, 0)
+    assert (result.status, result.outcome) == (503, "not-run"), result
+    assert result.retry_after
 
 
 @when(
@@ -200,7 +201,7 @@
 def _(context, count, kept):
     made = context.cluster
     for number in range(count):
-        context.offset = made.change([calls.weight("often", number + 1)])
+        context.offset = made.change([calls.put_weight("often", number + 1)])
     cluster.wait_for(lambda: _has_snapshot(made), "a snapshot in the log", 20)
     log = made.platform(keep=kept)
     assert log["oldest"] > 0, log
@@ -209,11 +210,11 @@
 def _has_snapshot(made):
     url = f"{made.platform_url}/log/records?from=0&wait=0&limit=100000"
     rows = made.client.get(url).json()["records"]
-    found = [at for at, row in rows if row["kind"] == "snapshot"]
-    return found and found[-1] > len(rows) - 20
+    snapshots = [at for at, row in rows if row["kind"] == "snapshot"]
+    return snapshots and snapshots[-1] > len(rows) - 20
 
 
-@then("an entry that restarts with nothing comes to the same offset")
+@then("an entry that restarts without state reaches the same offset")
 def _(context):
     made = context.cluster
     entry = made.entries[0][0]
--- a/features/steps/product_steps.py
+++ b/features/steps/product_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the parts of a product."""
+"""Steps on packages, the command line, logs and reference pages."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -23,7 +23,7 @@
 from tools import reference
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-# Each package and those that it may import.
+# Packages and those that each may import.
 ALLOWED = {
     "reelscale_core": set(),
     "reelscale_wire": set(),
@@ -65,25 +65,25 @@
     path.unlink()
 
 
-@then("the command exits with 2 and names all 4 places")
+@then("the command exits with 2 and names all 4 faults")
 def _(context):
     assert context.ran.returncode == 2, context.ran
-    for place in ("/hall", "/peer", "/slots", "colour"):
-        assert place in context.ran.stderr, context.ran.stderr
+    for path in ("/hall", "/peer", "/slots", "colour"):
+        assert path in context.ran.stderr, context.ran.stderr
 
 
-@then("the settings page is what the schema makes")
+@then("the settings page is generated from the schema")
 def _(context):
     page = ROOT / "docs" / "operators" / "settings.md"
     assert page.read_text() == reference.settings_page()
 
 
-@then("the metrics page names exactly the metrics of a process")
+@then("the metrics page lists exactly the metrics of a process")
 def _(context):
     page = ROOT / "docs" / "operators" / "metrics.md"
-    named = set(re.findall(r"^\| `(\w+)`", page.read_text(), re.M))
-    kept = {row.name for row in metrics.Metrics().registry.get_all()}
-    assert named == kept, named ^ kept
+    documented = set(re.findall(r"^\| `(\w+)`", page.read_text(), re.M))
+    registered = {row.name for row in metrics.Metrics().registry.get_all()}
+    assert documented == registered, documented ^ registered
 
 
 def _imports(package):
@@ -99,25 +99,29 @@
 
 @then("no module of the core imports the reactor or the wire")
 def _(context):
-    found = [row for row in _imports("reelscale_core") if row[1] in NETWORK]
-    assert not found, found
+    violations = [
+        row for row in _imports("reelscale_core") if row[1] in NETWORK
+    ]
+    assert not violations, violations
 
 
-@then("no package imports one that stands above it")
+@then("no package imports one of a higher layer")
 def _(context):
     for package, allowed in ALLOWED.items():
         others = set(ALLOWED) - allowed - {package}
-        found = [row for row in _imports(package) if row[1] in others]
-        assert not found, found
+        violations = [row for row in _imports(package) if row[1] in others]
+        assert not violations, violations
 
 
 @when("{count:d} workspaces are counted")
 def _(context, count):
-    kept = metrics.Metrics()
-    context.labels = {kept.workspace(f"w{number}") for number in range(count)}
+    process_metrics = metrics.Metrics()
+    context.labels = {
+        process_metrics.workspace(f"w{number}") for number in range(count)
+    }
 
 
-@then("no more than {count:d} labels are used")
+@then("at most {count:d} labels are used")
 def _(context, count):
     assert len(context.labels) <= count
 
@@ -162,10 +166,10 @@
 
 @when("the command line meets {case}")
 def _(context, case):
-    if case == "an entry that is not up":
+    if case == "an unreachable entry":
         port = cluster.free_port()
         _cli(context, "status", entry=f"http://127.0.0.1:{port}")
-    elif case == "a faulty intent":
+    elif case == "an invalid intent":
         path = context.cluster.dir / "faulty.json"
         path.write_text('{"changes": [{"kind": "leave"}]}')
         _cli(context, "plan", str(path))
@@ -173,7 +177,7 @@
         _cli(context, "confirm", "000000000000")
 
 
-@then("its error names a code, a step and what to do")
+@then("its error names a code, a step and a next action")
 def _(context):
     text = context.ran.stderr
     assert re.match(r"[a-z-]+: ", text), text
@@ -203,8 +207,8 @@
     for name in (made.entries[0][0], made.services[0][0]):
         assert made.processes[name].running
         assert made.ready(name), name
-    told = load.send(made, made.entries[0][0], path="/free")
-    assert told.outcome == "ran", told
+    result = load.send(made, made.entries[0][0], path="/free")
+    assert result.outcome == "ran", result
 
 
 @when(
@@ -259,9 +263,9 @@
     )
 
 
-@then("each is either taken or refused with a coded error")
+@then("each is either accepted or refused with a coded error")
 def _(context):
-    """Nothing else came through: the step before would have failed."""
+    """Do nothing; the step before fails on any other error."""
 
 
 @given("a cluster of its own that logs JSON")
@@ -314,14 +318,14 @@
     return made.client.get(f"{made.upstream_http[name]}/skew").json()["mean"]
 
 
-@then("the plan said that the skew would fall")
+@then("the plan predicted a lower skew")
 def _(context):
     cost = context.cost
     assert cost["skew_after"] < cost["skew_before"], cost
     assert cost["moves"] > 0, cost
 
 
-@then("the skew that the engines see falls")
+@then("the skew measured by the engines is lower")
 def _(context):
     print(f"skew {context.skew_before:.2f} -> {context.skew_after:.2f}")
     assert context.skew_after < context.skew_before * 0.85, (
