--- a/features/agent_fakes.py
+++ b/features/agent_fakes.py
@@ -1,4 +1,4 @@
-"""The streams of an agent alone, on a clock that moves when told to."""
+"""The streams of an agent on a fake clock, without processes."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -11,42 +11,41 @@
 from reelscale_wire.gen import ttypes
 from twisted.internet import task
 
-# What agents hold unless their settings say otherwise, in bytes; see
-# buffer_bytes in settings.schema.json of reelscale_core.
-USUAL_BYTES = 65536
+# The default of buffer_bytes in settings.schema.json of reelscale_core.
+DEFAULT_BUFFER_BYTES = 65536
 
 
-class HeldUpstream:
-    """An upstream whose answers come when a step says so.
+class FakeUpstream:
+    """An upstream whose answers are produced by the steps.
 
     Attributes:
-      sink: Where the answer to the last request goes.
+      sink: Receives the answer to the last request.
     """
 
     def ask(self, method, path, headers, body, sink, *, events):
-        """Keep where the answer goes."""
+        """Record the sink of the answer."""
         self.sink = sink
         idle = {name: lambda: None for name in ("pause", "resume", "stop")}
         return types.SimpleNamespace(**idle)
 
 
 def start(context, *, capacity):
-    """Make the streams of an agent, with its clock and its upstream."""
+    """Create the streams of an agent, with its clock and its upstream."""
     context.clock, context.reactor = clock.FakeClock(), task.Clock()
-    context.upstream = HeldUpstream()
+    context.upstream = FakeUpstream()
     context.streams = streams.Streams(
         reactor=context.reactor,
         clock=context.clock,
         upstream=context.upstream,
         metrics=metrics.Metrics(),
         capacity=capacity,
-        buffer_bytes=USUAL_BYTES,
+        buffer_bytes=DEFAULT_BUFFER_BYTES,
         incarnation="i",
     )
 
 
 def submission(attempt):
-    """Return an attempt as an entry submits it."""
+    """Return the message by which an entry submits an attempt."""
     return ttypes.Submit(
         attempt=attempt,
         entry="e",
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,36 +1,36 @@
-Feature: An upstream that says in its answers that it leaves gets no new work
+Feature: An upstream that announces in its answers that it leaves gets no new work
 
-  Scenario: A worker that says so only in its answers is left at once
+  Scenario: An announcement in answers alone takes effect at once
     Given a fleet of two workers of "push"
-    When worker "w1" says in its answers that it leaves
+    When worker "w1" announces in its answers that it leaves
     And "/read/x" is asked 20 times a second for 2 s
     Then at most 3 requests reach "w1"
     And all callers are served
 
-  Scenario: What an upstream said holds through lists, retries and openings
+  Scenario: An announcement holds across lists, retries and new connections
     When 40 traces of upstreams that leave are played
-    Then none gets a request sent more than the drain time after it said so
+    Then none gets a request sent more than the drain time after its announcement
 
-  Scenario Outline: The replay finds a fault in <fault>
+  Scenario Outline: The replay detects a fault in <fault>
     When 20 traces of upstreams that leave are played with a fault in <fault>
-    Then one gets a request sent more than the drain time after it said so
+    Then one gets a request sent more than the drain time after its announcement
 
     Examples:
       | fault   |
       | heeding |
       | lists   |
 
-  Scenario: A refusal that says so counts as well
+  Scenario: An announcement in a refusal takes effect as well
     Given an entry and 2 upstreams of which one refuses and leaves
-    When it refuses nothing more
+    When it refuses no further requests
     Then no request goes to it, and all are served
 
-  Scenario: A new start under the id of one that left is used
-    Given an entry and 1 upstream that said that it leaves
+  Scenario: A new start under the id of a departed one gets requests
+    Given an entry and 1 upstream that announced that it leaves
     Then no request is served
     When the upstream starts again
     Then a request is served
 
-  Scenario: An upstream that left and broke off has not crashed
-    Given an entry and 1 upstream that said that it leaves
-    Then it does not count as listed when a crash is looked into
+  Scenario: An upstream that left and closed its connections has not crashed
+    Given an entry and 1 upstream that announced that it leaves
+    Then it does not count as listed in the crash check
--- a/features/steps/agent_streams_steps.py
+++ b/features/steps/agent_streams_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers that agents hold until their entries fetch them."""
+"""Steps on answers that agents buffer until their entries fetch them."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -16,34 +16,34 @@
 
 KILOBYTE = 1000
 MEGABYTE = 1_000_000
-# Held by an agent, in bytes: more than the longest answer of these steps.
-HELD_BYTES = 8 * MEGABYTE
+# Buffer of an agent; exceeds the largest answer of these steps.
+BUFFER_BYTES = 8 * MEGABYTE
 LONG = "y" * (4 * MEGABYTE)
-# A piece of an answer that has no process behind it; a pull asks for one.
-PIECE = b"z" * 100
-# By then, in seconds, an agent has ended that waits for nothing more.
-EXIT_S = 10
+# A chunk of an answer; each pull requests one.
+CHUNK = b"z" * 100
+# Time-out for the exit of an agent, in seconds.
+EXIT_TIMEOUT_S = 10
 
 
-def _services(context, held_bytes):
-    """Start a hall with one service whose agent holds so many bytes."""
+def _services(context, buffer_bytes):
+    """Start a hall with one service whose agent has such a buffer."""
     made = cluster.Cluster(
-        halls=("a",), engines=0, settings={"buffer_bytes": held_bytes}
+        halls=("a",), engines=0, settings={"buffer_bytes": buffer_bytes}
     )
     context.cluster = made.__enter__()
 
 
 @given("a cluster of its own whose agents hold up to 8 MB of an answer")
 def _(context):
-    _services(context, HELD_BYTES)
+    _services(context, BUFFER_BYTES)
 
 
 @given("a cluster of its own whose agents hold up to 64 KB of an answer")
 def _(context):
-    _services(context, agent_fakes.USUAL_BYTES)
+    _services(context, agent_fakes.DEFAULT_BUFFER_BYTES)
 
 
-@when("a caller asks a service for {size:d} KB")
+@when("a caller requests from a service {size:d} KB")
 def _(context, size):
     context.size = size * KILOBYTE
     text = "y" * context.size
@@ -55,17 +55,17 @@
     print(f"{size} KB took {context.seconds:.2f} s")
 
 
-@then("the answer is whole within {limit:d} s")
+@then("the answer is complete within {limit:d} s")
 def _(context, limit):
     assert len(context.answer.content) > context.size, context.answer
     assert context.seconds < limit, context.seconds
 
 
-# Callers who read slowly.
+# Slow callers.
 
 
-def _ask_long(context):
-    """Ask for an echo of 4 MB and read nothing; wait until it is ready."""
+def _request_long(context):
+    """Request an echo of 4 MB without reading it; wait until it is ready."""
     made = context.cluster
     entry, agent = made.entries[0][0], made.services[0][0]
     address = made.http[entry].removeprefix("http://")
@@ -89,20 +89,17 @@
     "{seconds:d} s"
 )
 def _(context, seconds):
-    _ask_long(context)
+    _request_long(context)
     time.sleep(seconds)
     context.read = slow_callers.read_all(context.sock)
 
 
 @when("a service has answered 4 MB to a caller who reads nothing yet")
 def _(context):
-    _ask_long(context)
+    _request_long(context)
 
 
-@when(
-    "its agent is told to stop and the caller begins to read {seconds:d} s "
-    "later"
-)
+@when("its agent is stopped and the caller begins to read {seconds:d} s later")
 def _(context, seconds):
     made = context.cluster
     made.processes[made.services[0][0]].signal(signal.SIGTERM)
@@ -113,22 +110,22 @@
 @then("the agent has exited with status 0")
 def _(context):
     made = context.cluster
-    status = made.processes[made.services[0][0]].popen.wait(EXIT_S)
+    status = made.processes[made.services[0][0]].popen.wait(EXIT_TIMEOUT_S)
     assert status == 0, status
 
 
-@then("the slow caller gets the whole answer")
+@then("the slow caller gets the complete answer")
 def _(context):
     head, _, body = context.read.partition(b"\r\n\r\n")
     assert body.count(b"y") >= len(LONG), (len(body), head[:300])
 
 
-# The streams of an agent alone.
+# The streams of an agent, without processes.
 
 
 def _start_stream(context):
     agent_fakes.start(context, capacity=1)
-    context.silent_s = 0
+    context.idle_s = 0
     request = agent_fakes.submission("a")
     assert context.streams.decide(request).admitted
     context.streams.start(request)
@@ -136,18 +133,18 @@
 
 
 def _advance(context, seconds):
-    """Let time pass as an agent does: it sweeps each second."""
+    """Advance the clocks, sweeping each second as an agent does."""
     for _ in range(seconds):
         context.clock.advance(1)
         context.reactor.advance(1)
         context.streams.sweep()
-    context.silent_s += seconds
+    context.idle_s += seconds
 
 
 def _pull(context, from_seq):
-    """Pull one piece; return the Deferred of the batch."""
-    message = ttypes.Pull(attempt="a", from_seq=from_seq, max_bytes=len(PIECE))
-    context.silent_s = 0
+    """Pull one chunk; return the Deferred of the batch."""
+    message = ttypes.Pull(attempt="a", from_seq=from_seq, max_bytes=len(CHUNK))
+    context.idle_s = 0
     return defer.ensureDeferred(context.streams.pull(message))
 
 
@@ -156,7 +153,7 @@
     _start_stream(context)
     context.count = count
     for _ in range(count):
-        context.upstream.sink.chunk(PIECE)
+        context.upstream.sink.chunk(CHUNK)
     context.upstream.sink.end("", False)
 
 
@@ -167,7 +164,7 @@
     for seq in range(pieces[word] if word in pieces else int(word)):
         batches = []
         _pull(context, seq).addCallback(batches.append)
-        assert batches[0].chunks == [PIECE], batches
+        assert batches[0].chunks == [CHUNK], batches
         assert batches[0].done == (seq + 1 == context.count), batches
     if what.endswith("cancelled"):
         context.streams.cancel("a")
@@ -182,37 +179,37 @@
     _pull(context, 0).addCallback(batches.append)
     _advance(context, seconds)
     assert not batches, batches
-    context.upstream.sink.chunk(PIECE)
-    assert [batch.chunks for batch in batches] == [[PIECE]], batches
-    context.silent_s = 0
+    context.upstream.sink.chunk(CHUNK)
+    assert [batch.chunks for batch in batches] == [[CHUNK]], batches
+    context.idle_s = 0
 
 
-@when("the answer ends with more than its entry was given")
+@when("the answer ends with more than its entry has fetched")
 def _(context):
-    context.upstream.sink.chunk(PIECE)
+    context.upstream.sink.chunk(CHUNK)
     context.upstream.sink.end("", False)
 
 
 @then("it is still kept after {seconds:d} s without a pull")
 def _(context, seconds):
-    _advance(context, seconds - context.silent_s)
+    _advance(context, seconds - context.idle_s)
     assert "a" in context.streams.by_attempt
 
 
-@then("it is forgotten after {seconds:d} s without a pull")
+@then("it is dropped after {seconds:d} s without a pull")
 def _(context, seconds):
-    _advance(context, seconds - context.silent_s)
+    _advance(context, seconds - context.idle_s)
     assert "a" not in context.streams.by_attempt
 
 
 @then("a stop still waits {seconds:d} s after the last pull")
 def _(context, seconds):
     assert not context.streams.gate.running
-    _advance(context, seconds - context.silent_s)
+    _advance(context, seconds - context.idle_s)
     assert context.streams.unfetched()
 
 
-@then("it waits no longer {seconds:d} s after the last pull")
+@then("it no longer waits {seconds:d} s after the last pull")
 def _(context, seconds):
-    _advance(context, seconds - context.silent_s)
+    _advance(context, seconds - context.idle_s)
     assert not context.streams.unfetched()
--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -1,4 +1,4 @@
-"""Steps on upstreams that want no requests for a while."""
+"""Steps on upstreams that request a backoff."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -20,10 +20,10 @@
 from standins import fleet
 
 COUNTS = {"one": 1, "two": 2, "three": 3}
-# What was sent before the refusal was read may arrive this much later, in
-# seconds, and be so many requests; both are stated by the platform.
-ON_ITS_WAY_S = model.IN_TRANSIT_S
-ON_ITS_WAY = model.MAX_IN_TRANSIT
+# Bounds of the platform on requests in flight when a refusal is sent: the
+# seconds within which they arrive, and their number.
+IN_TRANSIT_S = model.IN_TRANSIT_S
+MAX_IN_TRANSIT = model.MAX_IN_TRANSIT
 
 
 @given('a fleet of {count} workers of "{service}"')
@@ -32,9 +32,9 @@
     context.cluster = fleet.Fleet(workers=workers).__enter__()
 
 
-@when('worker "{name}" sheds load and asks for {seconds:d} s without requests')
+@when('worker "{name}" sheds load with a backoff of {seconds:d} s')
 def _(context, name, seconds):
-    context.asked_s = seconds
+    context.backoff_s = seconds
     context.cluster.shed(name, str(seconds))
 
 
@@ -52,18 +52,16 @@
         context.answers = [item.result() for item in asked]
 
 
-@then(
-    'nothing but what was on its way reaches "{name}" in the time it asked for'
-)
+@then('only what was in flight reaches "{name}" during its backoff')
 def _(context, name):
     reached = context.cluster.worker(name)["reached"]
     arrivals = [row["at"] for row in reached if row["id"]]
     assert arrivals, "the worker was never asked"
-    # Each refusal asks anew, the first one as well as any that follows.
+    # Each refusal requests a backoff of its own.
     for at in arrivals:
-        until = at + context.asked_s
-        early = [x for x in arrivals if at + ON_ITS_WAY_S < x < until]
-        assert len(early) <= ON_ITS_WAY, [round(x - at, 3) for x in early]
+        until = at + context.backoff_s
+        early = [x for x in arrivals if at + IN_TRANSIT_S < x < until]
+        assert len(early) <= MAX_IN_TRANSIT, [round(x - at, 3) for x in early]
 
 
 @then("all callers are served")
@@ -73,7 +71,7 @@
 
 
 def _forgetful_view(self, item, real=directory.Directory._new_view):
-    """Begin to see a start, and forget what it had asked."""
+    """Create the view of a start, and drop its backoff."""
     self.backoffs._backoffs_by_start.pop(item.start.key, None)
     return real(self, item)
 
@@ -92,7 +90,7 @@
         for world in worlds
         for item in (*world.upstreams.values(), *world.ended)
     ]
-    assert sum(asks) > count, "hardly any upstream shed load"
+    assert sum(asks) > count, "too few upstreams shed load"
     context.worst = max(world.max_early_arrivals() for world in worlds)
 
 
@@ -110,23 +108,22 @@
         _play(context, count)
 
 
-@then("no upstream gets more than was on its way")
+@then("no upstream gets more than was in flight")
 def _(context):
     assert context.worst <= 0, context.worst
 
 
-@then("some upstream gets more than was on its way")
+@then("some upstream gets more than was in flight")
 def _(context):
     assert context.worst > 0, context.worst
 
 
 @given(
-    "an entry and {count:d} upstream that asked for {seconds:d} s without "
-    "requests"
+    "an entry and {count:d} upstream that requested a backoff of {seconds:d} s"
 )
 @given(
-    "an entry and {count:d} upstreams that asked for {seconds:d} s without "
-    "requests"
+    "an entry and {count:d} upstreams that requested a backoff of "
+    "{seconds:d} s"
 )
 def _(context, count, seconds):
     world = context.world = model.World(seed=1, count=count, slow_share=0.0)
@@ -151,7 +148,7 @@
     assert asked.http.status == 200, asked
 
 
-@when("the upstream has room again")
+@when("the upstream has capacity again")
 def _(context):
     context.world.upstreams["w1"].retry_after_s = None
 
@@ -173,22 +170,22 @@
     assert 0 <= late_s < 0.2, late_s
 
 
-@then("it is refused at once, to come back after {seconds:d} s")
+@then("it is refused at once with Retry-After of {seconds:d} s")
 def _(context, seconds):
     assert context.asked.code == "upstream-backoff", context.asked
     after_s = context.world.refusals[-1].retry_after_s
     assert seconds - 0.5 < after_s <= seconds, after_s
 
 
-@then('a refusal with "Retry-After: {text}" asks for {meaning}')
+@then('a refusal with "Retry-After: {text}" requests {meaning}')
 def _(context, text, meaning):
     head = connection.Head(503, [(b"Retry-After", text.encode())])
-    found = worker.Dialect().answer(head).retry_after_s
-    wanted = None if meaning == "no time" else float(meaning.split()[0])
-    assert found == wanted, found
+    parsed = worker.Dialect().answer(head).retry_after_s
+    expected = None if meaning == "no time" else float(meaning.split()[0])
+    assert parsed == expected, parsed
 
 
-@given("what an entry knows of an upstream born at {seconds:d} s")
+@given("the backoffs of an upstream started at {seconds:d} s")
 def _(context, seconds):
     context.clock = clock.FakeClock(start=float(seconds))
     context.start = announcement.Start("w1", seconds * 1000)
@@ -200,13 +197,13 @@
     )
 
 
-@when("it asks for {seconds:g} s at {at:g} s")
+@when("it requests a backoff of {seconds:g} s at {at:g} s")
 def _(context, seconds, at):
     context.clock.advance(at - context.clock.now)
     context.backoffs.record_backoff(context.start, seconds)
 
 
-@when("the list tells at {at:g} s that it was born again at {born:g} s")
+@when("the list reports at {at:g} s that it restarted at {born:g} s")
 def _(context, at, born):
     context.clock.advance(at - context.clock.now)
     before, context.start = (
@@ -216,21 +213,21 @@
     context.backoffs.on_restart(before, context.start)
 
 
-@then("it wants nothing for {seconds:g} s more")
+@then("its backoff lasts {seconds:g} s more")
 def _(context, seconds):
     remaining_s = context.backoffs.remaining_s(context.start)
     assert abs(remaining_s - seconds) < 0.001, remaining_s
 
 
 @given(
-    "an entry and {count:d} upstreams of which {shedding:d} want no requests "
-    "for {seconds:d} s"
+    "an entry and {count:d} upstreams of which {shedding:d} request a "
+    "backoff of {seconds:d} s"
 )
 def _(context, count, shedding, seconds):
     world = context.world = model.World(seed=1, count=count, slow_share=0.0)
-    context.asked_s = float(seconds)
+    context.backoff_s = float(seconds)
     for item in list(world.upstreams.values())[:shedding]:
-        item.retry_after_s = context.asked_s
+        item.retry_after_s = context.backoff_s
 
 
 @when("a request is refused by both of them")
@@ -245,13 +242,13 @@
     raise AssertionError("no request was refused by both")
 
 
-@then("it is told to come back before those {seconds:d} s are over")
+@then("its Retry-After is less than {seconds:d} s")
 def _(context, seconds):
     context.after_s = context.world.refusals[-1].retry_after_s
     assert 0 < context.after_s < seconds, context.after_s
 
 
-@then("one that comes back then is served")
+@then("a request after that time is served")
 def _(context):
     world = context.world
     world.pass_time(context.after_s)
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps on upstreams that say in their answers that they leave."""
+"""Steps on upstreams that announce in their answers that they leave."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -13,7 +13,7 @@
 
 
 def _forgetful_view(self, item, real=directory.Directory._new_view):
-    """Begin to see a start, and forget that it leaves."""
+    """Create the view of a start, and drop its departure."""
     self.departures._received_at_by_start.pop(item.start.key, None)
     return real(self, item)
 
@@ -24,7 +24,7 @@
 }
 
 
-@when('worker "{name}" says in its answers that it leaves')
+@when('worker "{name}" announces in its answers that it leaves')
 def _(context, name):
     context.cluster.say_leaving(name)
 
@@ -33,7 +33,7 @@
 def _(context, most, name):
     reached = context.cluster.worker(name)["reached"]
     count = sum(bool(row["id"]) for row in reached)
-    # At least one, or nothing was tried.
+    # At least one, as its answer has to announce it.
     assert 1 <= count <= most, count
 
 
@@ -56,12 +56,16 @@
         _play(context, count)
 
 
-@then("none gets a request sent more than the drain time after it said so")
+@then(
+    "none gets a request sent more than the drain time after its announcement"
+)
 def _(context):
     assert context.worst == 0, context.worst
 
 
-@then("one gets a request sent more than the drain time after it said so")
+@then(
+    "one gets a request sent more than the drain time after its announcement"
+)
 def _(context):
     assert context.worst > 0, context.worst
 
@@ -74,7 +78,7 @@
     return asked
 
 
-@given("an entry and 1 upstream that said that it leaves")
+@given("an entry and 1 upstream that announced that it leaves")
 def _(context):
     world = context.world = shedding.World(seed=1, count=1, slow_share=0.0)
     world.upstreams["w1"].leaving = True
@@ -91,7 +95,7 @@
         _ask(world)
 
 
-@when("it refuses nothing more")
+@when("it refuses no further requests")
 def _(context):
     leaving = context.world.upstreams["w1"]
     leaving.retry_after_s = None
@@ -111,7 +115,7 @@
     assert asked.code == "no-upstream", asked
 
 
-@then("it does not count as listed when a crash is looked into")
+@then("it does not count as listed in the crash check")
 def _(context):
     item = context.world.upstreams["w1"]
     start = announcement.Start("w1", item.born_ms)
