--- a/packages/reelscale-core/src/reelscale_core/suspicion.py
+++ b/packages/reelscale-core/src/reelscale_core/suspicion.py
@@ -5,8 +5,8 @@
 Every request in progress on a start when it crashed becomes a suspect.  After
 two crashes a suspect is isolated from other suspects.  It is convicted if it
 is the only suspect at its third crash, or if it was the only request running
-at each of two crashes.  A suspect that completes successfully is cleared
-permanently.
+at each of two crashes.  A suspect that completes successfully is cleared and
+not suspected again.
 """
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
@@ -26,7 +26,7 @@
 # Time from the last update until a record expires; bounds the effect of a
 # wrong conviction.
 RETENTION_S = 300.0
-# Each record takes a few hundred bytes; a crash adds one for each request in
+# Each record takes some hundred bytes; a crash adds one for each request in
 # progress.
 MAX_RECORDS = 1024
 DIGEST_BYTES = 8
@@ -139,7 +139,7 @@
         return convicted
 
     def clear(self, digest: int, now: float) -> bool:
-        """Clear a suspect permanently; return whether it was suspected."""
+        """Clear a suspect; return whether it was suspected."""
         old = self.by_digest.get(digest)
         if old is None or old.verdict is not Verdict.SUSPECTED:
             return False
