--- a/packages/reelscale-core/src/reelscale_core/change.py
+++ b/packages/reelscale-core/src/reelscale_core/change.py
@@ -88,7 +88,7 @@
 )
 
 
-def touched(change: Change) -> str:
+def object_key(change: Change) -> str:
     """Return the key, "kind/name", of the object that a change affects."""
     match change:
         case PutWorkspace(workspace=put):
--- a/packages/reelscale-core/src/reelscale_core/fold.py
+++ b/packages/reelscale-core/src/reelscale_core/fold.py
@@ -79,7 +79,7 @@
 def conflict(state: State, plan: record.PlanRecord) -> str:
     """Return what conflicts with a plan since its base, or an empty string."""
     for item in plan.changes:
-        key = change.touched(item)
+        key = change.object_key(item)
         at = state.changed_by_key.get(key, -1)
         if at > plan.base:
             return f"{key} was changed at offset {at}, after the plan's base"
@@ -179,8 +179,8 @@
 def _upstream_problem(state: State, put: model.Upstream) -> str:
     group = state.groups_by_name.get(put.target)
     if group is None:
-        known = put.target in state.services_by_name
-        return "" if known else f"there is no group or service {put.target}"
+        exists = put.target in state.services_by_name
+        return "" if exists else f"there is no group or service {put.target}"
     if put.first_rank + put.ranks > group.ranks:
         return f"{put.name} has ranks that group {group.name} has not"
     return ""
@@ -201,7 +201,7 @@
 
 
 def _change(state: State, offset: int, item: change.Change) -> State:
-    changed = state.changed_by_key.set(change.touched(item), offset)
+    changed = state.changed_by_key.set(change.object_key(item), offset)
     state = state._replace(changed_by_key=changed)
     match item:
         case change.PutWorkspace(workspace=put):
--- a/packages/reelscale-core/src/reelscale_core/plan.py
+++ b/packages/reelscale-core/src/reelscale_core/plan.py
@@ -250,7 +250,7 @@
 
 def _diff(state: State, item: change.Change) -> str:
     """Describe a change in one line."""
-    key = change.touched(item)
+    key = change.object_key(item)
     kind, name = key.split("/", 1)
     exists = name in getattr(state, f"{kind}s_by_name")
     match item:
--- a/packages/reelscale-core/src/reelscale_core/replicas.py
+++ b/packages/reelscale-core/src/reelscale_core/replicas.py
@@ -114,15 +114,15 @@
         """Return the new loads of the ranks that a replica affects."""
         owners = self.owners[expert]
         each = self.demand[expert] / (len(owners) + 1)
-        less = self.share(expert) - each
-        loads = {owner: self.loads[owner] - less for owner in owners}
+        reduction = self.share(expert) - each
+        loads = {owner: self.loads[owner] - reduction for owner in owners}
         loads[to] = self.loads[to] + each
         if out != NO_EXPERT:
             share = self.share(out)
             loads[to] -= share
-            more = share / (len(self.owners[out]) - 1)
+            increase = share / (len(self.owners[out]) - 1)
             for owner in self.owners[out] - {to}:
-                loads[owner] = loads.get(owner, self.loads[owner]) + more
+                loads[owner] = loads.get(owner, self.loads[owner]) + increase
         return loads
 
     def add(self, expert: int, to: int, out: int) -> None:
--- a/packages/reelscale-core/src/reelscale_core/route.py
+++ b/packages/reelscale-core/src/reelscale_core/route.py
@@ -78,7 +78,7 @@
     resumable: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind == SAFE or (self.kind == STREAM and self.resumable)
 
--- a/packages/reelscale-core/src/reelscale_core/schema.py
+++ b/packages/reelscale-core/src/reelscale_core/schema.py
@@ -34,10 +34,10 @@
       One Fault per violated rule; empty if the document is valid.
     """
     validator = jsonschema.Draft202012Validator(schema)
-    found = []
+    result = []
     for item in validator.iter_errors(document):
-        found += _unfold(item)
-    return tuple(sorted(set(found)))
+        result += _unfold(item)
+    return tuple(sorted(set(result)))
 
 
 def check(document: Any, schema: dict[str, Any], *, step: str) -> None:
@@ -46,14 +46,14 @@
     Raises:
       CodedError: Code "bad-document", status 400.
     """
-    found = faults(document, schema)
-    if found:
+    violations = faults(document, schema)
+    if violations:
         raise error.CodedError(
             "bad-document",
             step=step,
             status=400,
-            detail=f"{len(found)} fault(s) in the document",
-            faults=found,
+            detail=f"{len(violations)} fault(s) in the document",
+            faults=violations,
         )
 
 
@@ -65,10 +65,10 @@
     """
     try:
         return json.loads(text)
-    except (ValueError, RecursionError) as bad:
+    except (ValueError, RecursionError) as exc:
         raise error.CodedError(
-            "bad-json", step=step, status=400, detail=str(bad)
-        ) from bad
+            "bad-json", step=step, status=400, detail=str(exc)
+        ) from exc
 
 
 def _unfold(item: jsonschema.ValidationError) -> list[error.Fault]:
--- a/packages/reelscale-core/src/reelscale_core/settings.py
+++ b/packages/reelscale-core/src/reelscale_core/settings.py
@@ -73,10 +73,10 @@
     """
     try:
         text = pathlib.Path(path).read_text()
-    except OSError as bad:
+    except OSError as exc:
         raise error.CodedError(
-            "no-settings", step="settings", peer=path, detail=str(bad)
-        ) from bad
+            "no-settings", step="settings", peer=path, detail=str(exc)
+        ) from exc
     document = schema.decode(text, step="settings")
     return parse(document, role=role, path=path)
 
--- a/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/filters/routed.py
@@ -79,8 +79,8 @@
     request.priority = min(request.priority, admission.CLASSES - 1)
     request.stream = matched.kind == route.STREAM
     request.is_model = request.stream
-    request.idempotent = matched.repeatable
-    request.at_most_once = not matched.repeatable
+    request.idempotent = matched.idempotent
+    request.at_most_once = not matched.idempotent
     request.max_attempts = matched.attempts
     request.answer_deadline = min(
         request.answer_deadline, request.arrived_at + matched.timeout_s
