--- a/features/models/oncekeys.py
+++ b/features/models/oncekeys.py
@@ -168,7 +168,7 @@
             self.refused += 1
 
     def reply(self, chooser: Chooser) -> None:
-        """Let a previous owner answer, or time out."""
+        """Receive a previous owner's answer, or time out."""
         if not self.pending:
             return
         row = chooser.pick(self.pending)
@@ -241,7 +241,7 @@
         self.tables[name] = self._table(name, since)
 
     def wait(self, chooser: Chooser) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += chooser.pick(LEAPS_S)
 
     def _is_valid(self, key: str) -> bool:
--- a/packages/reelscale-core/src/reelscale_core/idempotency.py
+++ b/packages/reelscale-core/src/reelscale_core/idempotency.py
@@ -289,10 +289,10 @@
     def _released_before(
         self, offset: int, previous: str, created_at: float | None
     ) -> bool:
-        released_at = self._released.get((offset, previous))
-        if released_at is None or created_at is None:
+        reply = self._released.get((offset, previous))
+        if reply is None or created_at is None:
             return False
-        return created_at > released_at.since + MAX_CLOCK_SKEW_S
+        return created_at > reply.since + MAX_CLOCK_SKEW_S
 
     def _expire(self, wall: float) -> None:
         while self._records:
