--- a/features/platform_entries.feature
+++ b/features/platform_entries.feature
@@ -1,16 +1,14 @@
-Feature: An entry that cannot be trusted names no upstream to use
+Feature: An invalid record in the list of upstreams is ignored
 
-  An entry may come from another writer.  Seven of nine bad entries that were
-  tried (slots "4", -1 and true, an unknown state, addresses 5 and "x", a list
-  as a service) were taken as good workers, and where one was refused, the
-  good entry before it stayed in use.
+  Guards against invalid records of other writers that are used as workers, or
+  that leave the valid record before them in use.
 
-  Scenario Outline: An entry with <field> <value> names no upstream
-    Given the list of upstreams with a sound "w1" and "w2"
+  Scenario Outline: A record with <field> <value> lists no upstream
+    Given the list of upstreams with a valid "w1" and "w2"
     When "w1" is written with <field> set to <value>
     Then only "other" and "w2" get work
     And one line and one count name "w1" and the reason "<reason>"
-    When "w1" is written as it should be
+    When "w1" is written with valid fields
     Then "w1" gets work again
 
     Examples:
@@ -41,31 +39,31 @@
       | born         | 1.5            | born         |
       | born         | null           | born         |
 
-  Scenario: An entry without its start is not trusted where others tell theirs
-    Given the list of upstreams with a sound "w1" and "w2"
+  Scenario: A record without its start is invalid where others have theirs
+    Given the list of upstreams with a valid "w1" and "w2"
     When "w1" is written with born set to 1000
-    And "w2" is written as it should be
+    And "w2" is written with valid fields
     Then only "w1" gets work
 
-  Scenario: A service that nobody has named yet is no error of the entry
-    Given the list of upstreams with a sound "w1" and "w2"
+  Scenario: A service that is not configured yet does not invalidate a record
+    Given the list of upstreams with a valid "w1" and "w2"
     When "w1" is written with service set to "later"
     Then "w1" is listed for "later"
 
-  Scenario: The same bad entry again and again is told of once
-    Given the list of upstreams with a sound "w1" and "w2"
+  Scenario: A repeated invalid record is reported once
+    Given the list of upstreams with a valid "w1" and "w2"
     When "w1" is written with slots set to "4" 50 times
     Then one line and one count name "w1" and the reason "slots"
 
-  Scenario: Whatever stands in records, the list holds just what is sound
+  Scenario: Only valid records are listed, whatever the records contain
     When 400 generated lists of records are read
-    Then no error came out, and each time just the sound entries got work
+    Then no error occurred, and each time only the valid records got work
 
-  Scenario: Heartbeats alone are no news for other entries
-    Given the list of upstreams with a sound "w1" and "w2"
+  Scenario: Heartbeats alone are not advertised to other entries
+    Given the list of upstreams with a valid "w1" and "w2"
     When the heartbeat of "w1" is written 50 times
-    Then other entries are told of nothing new
+    Then no update is advertised to other entries
     When "w1" is written with state set to "draining"
-    Then other entries are told of something new
+    Then an update is advertised to other entries
     When "w2" is withdrawn from the list
-    Then other entries are told of something new
+    Then an update is advertised to other entries
--- a/features/steps/platform_entries_steps.py
+++ b/features/steps/platform_entries_steps.py
@@ -1,4 +1,4 @@
-"""Steps on entries of the list of upstreams that cannot be trusted."""
+"""Steps on invalid records in the list of upstreams."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -16,10 +16,10 @@
 
 NOTHING = "nothing"
 STATES = ("ready", "draining")
-NOT_TRUSTED = "Ignored an invalid announcement of an upstream."
+INVALID_TEXT = "Ignored an invalid announcement of an upstream."
 
 
-@given('the list of upstreams with a sound "{one}" and "{two}"')
+@given('the list of upstreams with a valid "{one}" and "{two}"')
 def _(context, one, two):
     log_lines.keep(context)
     context.listing = fakes.Listing()
@@ -54,7 +54,7 @@
     _write(context, name, _entry(field, value))
 
 
-@when('"{name}" is written as it should be')
+@when('"{name}" is written with valid fields')
 def _(context, name):
     _write(context, name, fakes.entry())
 
@@ -83,7 +83,7 @@
 
 @then('one line and one count name "{name}" and the reason "{reason}"')
 def _(context, name, reason):
-    rows = [r for r in context.lines.rows if r.sentence == NOT_TRUSTED]
+    rows = [r for r in context.lines.rows if r.sentence == INVALID_TEXT]
     (row,) = rows
     assert (row.fields["name"], row.fields["reason"]) == (name, reason), row
     text = context.listing.metrics.text()[0].decode()
@@ -91,15 +91,15 @@
     assert count == (f'reason="{reason}"', "1"), count
 
 
-# Generated records, against the pages read once more, by hand.
+# Generated records, checked against an independent validation.
 
 
 def _is_text(value):
     return isinstance(value, str) and 0 < len(value) <= 255
 
 
-def _is_whole(value, most=2**63 - 1):
-    return type(value) is int and 0 <= value <= most
+def _is_integer(value, max_value=2**63 - 1):
+    return type(value) is int and 0 <= value <= max_value
 
 
 def _is_address(value):
@@ -113,8 +113,8 @@
     return 0 < int(found[2]) < 65536
 
 
-def _sound(value):
-    """Tell whether bytes are a sound entry."""
+def _is_valid(value):
+    """Return whether bytes are a valid record."""
     try:
         data = json.loads(value.decode())
     except (ValueError, RecursionError):
@@ -126,9 +126,9 @@
         and isinstance(data.get("version"), str)
         and data.get("state") in STATES
         and _is_address(data.get("addr"))
-        and _is_whole(data.get("slots"), 1_000_000)
-        and _is_whole(data.get("cold_left_ms"))
-        and _is_whole(data.get("seq"))
+        and _is_integer(data.get("slots"), 1_000_000)
+        and _is_integer(data.get("cold_left_ms"))
+        and _is_integer(data.get("seq"))
     )
 
 
@@ -149,7 +149,7 @@
 
 @strategies.composite
 def _changed(draw):
-    """Return an entry with a field that is missing or anything."""
+    """Return a record with a field that is missing or arbitrary."""
     data = json.loads(fakes.entry())
     field = draw(strategies.sampled_from(sorted(data)))
     if draw(strategies.booleans()):
@@ -171,18 +171,18 @@
 
 
 def _expected(records):
-    """Return the names whose newest record is a sound and ready entry."""
-    found = {}
+    """Return the names whose newest record is valid and ready."""
+    newest = {}
     for data in records:
         size = data[0] if data else 0
         key = data[1 : 1 + size]
         if not size or len(key) < size or not key.isascii():
             continue
-        found[key.decode()] = data[1 + size :]
+        newest[key.decode()] = data[1 + size :]
     return {
         name
-        for name, value in found.items()
-        if _sound(value)
+        for name, value in newest.items()
+        if _is_valid(value)
         and json.loads(value)["state"] == "ready"
         and json.loads(value)["service"] == "push"
     }
@@ -213,41 +213,41 @@
     read()
 
 
-@then("no error came out, and each time just the sound entries got work")
+@then("no error occurred, and each time only the valid records got work")
 def _(context):
     assert context.ran >= 400, context.ran
-    bad = [r for r in context.lines.rows if "Could not apply" in r.sentence]
-    assert not bad, bad[:1]
+    errors = [r for r in context.lines.rows if "Could not apply" in r.sentence]
+    assert not errors, errors[:1]
 
 
 @when('the heartbeat of "{name}" is written {count:d} times')
 def _(context, name, count):
-    context.told = context.listing.directory.update_offset
+    context.advertised = context.listing.directory.update_offset
     for seq in range(count):
         _write(context, name, _entry("seq", str(seq)))
 
 
 @when('"{name}" is withdrawn from the list')
 def _(context, name):
-    context.told = context.listing.directory.update_offset
+    context.advertised = context.listing.directory.update_offset
     _write(context, name, None)
 
 
-@then("other entries are told of nothing new")
+@then("no update is advertised to other entries")
 def _(context):
     made = context.listing.directory
-    assert made.update_offset == context.told, (
+    assert made.update_offset == context.advertised, (
         made.update_offset,
-        context.told,
+        context.advertised,
     )
-    assert made.offset > context.told, made.offset
+    assert made.offset > context.advertised, made.offset
 
 
-@then("other entries are told of something new")
+@then("an update is advertised to other entries")
 def _(context):
     made = context.listing.directory
-    assert made.update_offset > context.told, (
+    assert made.update_offset > context.advertised, (
         made.update_offset,
-        context.told,
+        context.advertised,
     )
     assert made.update_offset == made.offset, made.offset
--- a/features/steps/platform_records_steps.py
+++ b/features/steps/platform_records_steps.py
@@ -1,4 +1,4 @@
-"""Steps on records of the store that cannot be read."""
+"""Steps on unreadable records of the store."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -7,7 +7,7 @@
 
 from standins import process
 
-# Workers and operators write under these keys.
+# Keys of the records of a worker and of the operator.
 WORKER, OPERATOR = b"w4", b"config"
 DEEP = 10_000
 
@@ -17,14 +17,14 @@
 
 
 def _records(key):
-    """Return records that cannot be read, by what is wrong with each."""
+    """Return unreadable records by their defect."""
     deep = b"[" * DEEP + b"]" * DEEP
     return {
         "a key that is not UTF-8": _keyed(b"\xff\xfe", b"{}"),
         "an empty record": b"",
         "a key longer than its record": b"\xc8" + key,
         "a value that is not UTF-8": _keyed(key, b'{"zone":"\xff"}'),
-        "a value that is no JSON": _keyed(key, b"{"),
+        "a value that is not JSON": _keyed(key, b"{"),
         "a value nested ten thousand deep": _keyed(key, deep),
         "a list in place of an entry": _keyed(key, b"[1]"),
         "routes that are texts": _keyed(
@@ -61,7 +61,7 @@
     process.wait_for(listed, "the worker to be listed", limit)
 
 
-@then("requests are served, also by the entry started again")
+@then("requests are served, also after a restart of the entry")
 def _(context):
     made = context.cluster
     assert made.ask("/read/x", method="GET").status_code == 200
--- a/features/steps/platform_usage_steps.py
+++ b/features/steps/platform_usage_steps.py
@@ -34,12 +34,12 @@
         )
 
 
-def _send_in_turn(context, entries, wanted):
-    """Send one after the other, each when the last has been told of."""
+def _send_in_turn(context, entries, count):
+    """Send requests in sequence, each once the last has been reported."""
     made = context.cluster
     context.open = []
     context.statuses = []
-    for number in range(wanted):
+    for number in range(count):
         conn = made.connect(entries[number % len(entries)])
         clients.send(conn, made.headers(), "/push/mute")
         thread = threading.Thread(target=_read, args=(context, conn))
@@ -49,7 +49,7 @@
         process.wait_for(
             lambda n=expected: len(made.ledger("push")) >= n, f"{expected}"
         )
-        # Counts are told within 0.03 s; a refusal takes 0.22 of the goal.
+        # Counts are sent within 0.03 s; a refusal takes 0.22 of the goal.
         time.sleep(0.1)
 
 
@@ -63,7 +63,8 @@
 
 
 @when(
-    "{count:d} requests that never end are sent by turns through both entries"
+    "{count:d} requests that never end are sent alternately through both "
+    "entries"
 )
 def _(context, count):
     _send_in_turn(context, ["f1", "f2"], count)
@@ -78,10 +79,10 @@
 def _(context, ran, refused):
     runs = context.cluster.ledger("push")
     assert len(runs) == ran, (len(runs), context.statuses)
-    # Those that run end only at their route's time, of 4 s.
+    # Running requests end only at the time-out of their route, 4 s.
     process.wait_for(lambda: len(context.statuses) >= refused, "refusals")
-    early = list(context.statuses[:refused])
-    assert early == [503] * refused, context.statuses
+    refusals = list(context.statuses[:refused])
+    assert refusals == [503] * refused, context.statuses
     for _, thread in context.open:
         thread.join(10)
 
@@ -136,13 +137,17 @@
     "good"
 )
 def _(context, pause, seconds, good):
-    found = getattr(context, "pace", pace.Pace())
-    start = max(0.0, found.sampled_at)
+    group_pace = getattr(context, "pace", pace.Pace())
+    start = max(0.0, group_pace.sampled_at)
     for number in range(int(seconds / 0.02)):
-        found = pace.observed(
-            found, pause, max_pause_s=good, used=1.0, now=start + number * 0.02
+        group_pace = pace.observed(
+            group_pace,
+            pause,
+            max_pause_s=good,
+            used=1.0,
+            now=start + number * 0.02,
         )
-    context.pace = found
+    context.pace = group_pace
 
 
 @then(
@@ -153,13 +158,13 @@
     assert GOOD_S * 0.9 <= pause_s <= GOOD_S, context.pace
 
 
-@then("there is no limit, as it would do no good")
+@then("there is no limit, as it would be ineffective")
 def _(context):
     assert context.pace.limit == 1.0, context.pace
     assert context.pace.ineffective, context.pace
 
 
-@when("they stay so though its limit is kept")
+@when("they stay so though its limit is observed")
 def _(context):
     found = context.pace
     for _ in range(2 * pace.INEFFECTIVE_PASSES):
@@ -196,7 +201,7 @@
     assert context.pace.limit >= pace.RECOVERED_SHARE, context.pace
 
 
-@then("its limit has come up to the whole")
+@then("its limit has risen to the maximum")
 def _(context):
     assert context.pace.limit == 1.0, context.pace
 
@@ -205,7 +210,7 @@
 def _(context, count):
     """Step a group of 96 slots whose pause is good up to 70 streams.
 
-    Streams last 28 passes; as many come as are let in.
+    Streams last 28 passes, and a new one starts whenever it is admitted.
     """
     slots, good_streams, length = 96, 70, 28
     entries = [pace.Pace() for _ in range(count)]
@@ -249,7 +254,7 @@
 
 @then(
     "{slots:d} slots taken for {takes:f} s let none wait where {goal:f} s is "
-    "wanted"
+    "the goal"
 )
 def _(context, slots, takes, goal):
     assert waiting.queue_capacity(slots, goal_s=goal, takes_s=takes) == 0
@@ -257,15 +262,15 @@
 
 @then(
     "{slots:d} slots taken for {takes:f} s let {count:d} wait where {goal:f} "
-    "s is wanted"
+    "s is the goal"
 )
 def _(context, slots, takes, count, goal):
     assert waiting.queue_capacity(slots, goal_s=goal, takes_s=takes) == count
 
 
 @when(
-    "{count:d} entries are asked for a fifth more streams than a group bears "
-    "for {seconds:d} s"
+    "{count:d} entries are asked for a fifth more streams than a group can "
+    "run for {seconds:d} s"
 )
 def _(context, count, seconds):
     context.shifting = shifting_group.Group(entries=count)
@@ -273,13 +278,13 @@
 
 
 @when(
-    "what a stream costs more than doubles for {dear:g} s of each {every:g} s"
+    "the cost of a stream more than doubles for {dear:g} s of each {every:g} s"
 )
 def _(context, dear, every):
     context.shifting.play(context.seconds, skewed_s=dear, every_s=every)
 
 
-@then("at least {part:d} of 10 streams keep the pause that is good")
+@then("at least {part:d} of 10 streams keep the good pause")
 def _(context, part):
     group = context.shifting
     assert group.in_time * 10 >= part * group.ended, vars(group)
