--- a/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
+++ b/packages/reelscale-daemon/src/reelscale_daemon/rank_agent.py
@@ -34,9 +34,9 @@
 LOG = logs.Logger("agent")
 # What the first two steps of a stop may take at most, as parts of what is
 # left of the grace time then: of the 5.6 s that are left of a grace time of
-# 6 s, 2.8 s to let go of the group (group.FINISH_S and a last look), then
-# 1.7 s to leave the lease (two calls at the store, each 0.75 s at most), so
-# that connections have 1.1 s.
+# 6 s, 2.8 s to let go of the group (group.STOP_TIMEOUT_S and a last check),
+# then 1.7 s to leave the lease (two calls at the store, each 0.75 s at most),
+# so that connections have 1.1 s.
 FINISH_PART = 0.5
 LEAVE_PART = 0.6
 
