--- a/features/failure.feature
+++ b/features/failure.feature
@@ -1,4 +1,4 @@
-Feature: The promises hold when processes fail
+Feature: Guarantees hold when processes fail
 
   Scenario Outline: A step has one layout while <what> is <fault>
     Given a cluster of its own with <option> <value>
@@ -13,42 +13,42 @@
       | engine | restarted              | lease_s      | 1     |
       | store  | slow                   | checks_fence | 0     |
 
-  Scenario: A holder that keeps its lease goes on numbering its orders
+  Scenario: A holder that keeps its lease continues the numbering of its orders
     Given a cluster of its own with lease_s 30
     When the layout changes 3 times in one lease
     Then every rank ends on the last layout
     And no agent refused an order
 
-  Scenario: Streams go on at another upstream when one is killed
+  Scenario: Streams continue at another upstream when one is killed
     Given a cluster of its own with services 0
     When 24 callers stream 200 tokens while an agent is killed
-    Then every stream is whole and its caller's own
+    Then every stream is complete and its caller's own
 
   Scenario: A stream that lost its upstream waits for one that is full
     Given a cluster of its own of one entry and two engines with 1 slots
     When 2 callers stream 300 tokens while an agent is killed
-    Then every stream is whole and its caller's own
+    Then every stream is complete and its caller's own
 
-  Scenario: A request waits for a full upstream, not for one that is gone
+  Scenario: A request waits for a full upstream, not for a dead one
     Given a cluster of its own of one entry and two engines with 1 slots
     When a caller streams 300 tokens and another asks as the free agent dies
-    Then every stream is whole and its caller's own
+    Then every stream is complete and its caller's own
 
-  Scenario: Streams that had not begun cost one retry each, and no more
+  Scenario: Streams that had not begun cost one retry each
     Given a cluster of its own of one entry and two engines with 16 slots
-    When 32 callers ask an engine that stands and its agent is killed
-    Then as many as the budget for retries holds go on elsewhere
-    And the others are told that it is unknown, with Retry-After
+    When 32 callers ask a frozen engine and its agent is killed
+    Then as many as the retry budget allows continue elsewhere
+    And the others get the outcome unknown, with Retry-After
 
-  Scenario: A caller of a killed entry sees a broken stream, not a short one
+  Scenario: A caller of a killed entry gets a broken stream, not a truncated one
     Given a cluster of its own with services 0
     When 6 callers stream 300 tokens through an entry that is killed
-    Then every stream of that entry is broken or whole, and none is wrong
+    Then every stream of that entry is broken or complete, and none is wrong
 
-  Scenario: Many callers each get their own whole answer
+  Scenario: Many callers each get their own complete answer
     Given a cluster of its own with slots 64
     When 400 callers ask at once through both halls
-    Then every answer that ran is whole and its caller's own
+    Then every answer that ran is complete and its caller's own
 
   Scenario: Not-run means not run while services and agents are killed
     Given a cluster of its own with engines 0
@@ -57,17 +57,17 @@
     And nothing sent once is in the ledger twice
     And every refusal came at once with Retry-After
 
-  Scenario: A key runs at most once, whatever is repeated where
+  Scenario: A key runs at most once, however it is repeated
     Given a cluster of its own with engines 0
-    When callers repeat keys through all entries for 15 s while homes change
+    When callers repeat keys through all entries for 15 s while owners change
     Then nothing sent once is in the ledger twice
     And many keys have run
 
   Scenario: A key is refused by an agent that has restarted
     Given a cluster of its own with engines 0
-    When a key has run and its home restarts
+    When a key has run and its owner restarts
     Then the same key is answered with the outcome "unknown" and not run again
-    But a new key for that home runs
+    But a new key for that owner runs
 
   Scenario: Keys run and repeat their answers while the log is down
     Given a cluster of its own with engines 0
@@ -86,8 +86,8 @@
       | with an entry cut from the log         |
       | with an entry frozen and resumed       |
 
-  Scenario: A planned stop cuts no request
+  Scenario: A planned stop interrupts no request
     Given a cluster of its own with services 0
     When an entry and an agent are stopped at once under long streams
     Then both exit with status 0
-    And every stream is whole and its caller's own
+    And every stream is complete and its caller's own
--- a/features/steps/cluster_steps.py
+++ b/features/steps/cluster_steps.py
@@ -14,22 +14,22 @@
 
 @given("a shared cluster of two halls with {count:d} entries each")
 def _(context, count):
-    _share(context, entries=count)
+    _use_shared(context, entries=count)
 
 
 @given("a shared cluster")
 def _(context):
-    _share(context)
+    _use_shared(context)
 
 
 @given("a cluster of its own")
 def _(context):
-    _own(context)
+    _start_own(context)
 
 
 @given("a cluster of its own with {option} {value:d}")
 def _(context, option, value):
-    _own(context, **{option: value})
+    _start_own(context, **{option: value})
 
 
 @given("a cluster with {option} {value:d} that is laid out and not started")
@@ -43,7 +43,7 @@
     files = [made.dir / f"engine-{name}.json" for name, _ in made.engines]
     ports = [json.loads(file.read_text())["udp"] for file in files]
     assert len(set(ports)) == len(ports), ports
-    context.taken = [port for port in ports if _take(port)]
+    context.taken = [port for port in ports if _can_bind(port)]
 
 
 @then("the program is refused each of them")
@@ -72,8 +72,8 @@
         raise AssertionError("the cluster came up")
 
 
-def _take(port):
-    """Tell whether a program that shares no port is given this one."""
+def _can_bind(port):
+    """Return whether a socket without port sharing can bind this port."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         try:
             sock.bind(("127.0.0.1", port))
@@ -87,11 +87,11 @@
     "a cluster of its own of one entry and two engines with {slots:d} slots"
 )
 def _(context, slots):
-    # With one entry, no other has a part of the grants.
-    _own(context, halls=("a",), engines=2, services=0, slots=slots)
+    # A single entry gets all the grants.
+    _start_own(context, halls=("a",), engines=2, services=0, slots=slots)
 
 
-def _share(context, **options):
+def _use_shared(context, **options):
     if "cluster" not in context.holder:
         made = cluster.Cluster(**options)
         made.__enter__()
@@ -99,6 +99,6 @@
     context.cluster = context.holder["cluster"]
 
 
-def _own(context, **options):
+def _start_own(context, **options):
     context.cluster = cluster.Cluster(**options)
     context.cluster.__enter__()
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring failures about among separate processes."""
+"""Steps that cause failures of separate processes."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -17,14 +17,14 @@
 
 
 def _streams(context, count, tokens, entries, fault):
-    """Stream through each of some entries while a fault comes about."""
+    """Stream through each of some entries while a fault is caused."""
     made = context.cluster
-    context.told = []
+    context.results = []
     begun = []
 
     def run(entry):
-        told = load.stream(made, entry, tokens, on_first=begun.append)
-        context.told.append(told)
+        result = load.stream(made, entry, tokens, on_first=begun.append)
+        context.results.append(result)
 
     threads = [
         threading.Thread(target=run, args=(entry,))
@@ -33,8 +33,8 @@
     ]
     for thread in threads:
         thread.start()
-    # A stream that has not begun goes elsewhere at the cost of the budget
-    # for retries, which is not what is shown here.
+    # Retries of streams that have not begun are limited by the retry budget,
+    # which is not under test here.
     cluster.wait_for(lambda: len(begun) == len(threads), "streams to begin")
     fault()
     for thread in threads:
@@ -58,29 +58,29 @@
     _streams(context, count, tokens, [entry], made.processes[entry].kill)
 
 
-@then("every stream is whole and its caller's own")
+@then("every stream is complete and its caller's own")
 def _(context):
-    counts = load.outcomes(context.told)
+    counts = load.outcomes(context.results)
     assert set(counts) == {"ran"}, counts
-    assert all(row.right for row in context.told)
+    assert all(row.right for row in context.results)
 
 
-@then("every stream of that entry is broken or whole, and none is wrong")
+@then("every stream of that entry is broken or complete, and none is wrong")
 def _(context):
-    counts = load.outcomes(context.told)
+    counts = load.outcomes(context.results)
     assert counts.get("broken", 0) > 0, counts
     assert set(counts) <= {"ran", "broken"}, counts
-    assert all(row.right for row in context.told)
+    assert all(row.right for row in context.results)
 
 
 @when("{count:d} callers ask at once through both halls")
 def _(context, count):
     made = context.cluster
     entries = itertools.cycle(name for name, _ in made.entries)
-    context.told = []
+    context.results = []
 
     def run(entry):
-        context.told.append(load.stream(made, entry, 12))
+        context.results.append(load.stream(made, entry, 12))
 
     threads = [
         threading.Thread(target=run, args=(next(entries),))
@@ -92,12 +92,12 @@
         thread.join(90)
 
 
-@then("every answer that ran is whole and its caller's own")
+@then("every answer that ran is complete and its caller's own")
 def _(context):
-    counts = load.outcomes(context.told)
-    assert counts.get("ran", 0) > len(context.told) * 0.9, counts
+    counts = load.outcomes(context.results)
+    assert counts.get("ran", 0) > len(context.results) * 0.9, counts
     assert set(counts) <= {"ran", "not-run"}, counts
-    assert all(row.right for row in context.told)
+    assert all(row.right for row in context.results)
 
 
 @when(
@@ -115,18 +115,18 @@
     with load.Load(calls) as running:
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            _harm_services(made, entries)
-    context.told = running.told
+            _cause_faults(made, entries)
+    context.results = running.told
     context.ledger = _sent(made)
 
 
 def _sent(made):
-    """Return the runs of what must not be repeated."""
+    """Return the runs of requests that must not be repeated."""
     return [run for run in made.ledger() if run["path"] == "/send"]
 
 
-def _harm_services(made, entries):
-    """Kill an agent, kill a service, cut an entry: in turn."""
+def _cause_faults(made, entries):
+    """Kill an agent, partition an entry and freeze a service, in turn."""
     agent = made.processes[made.services[0][0]]
     agent.kill()
     time.sleep(0.4)
@@ -149,10 +149,10 @@
     ran = {run["body"] for run in context.ledger}
     wrong = [
         row
-        for row in context.told
+        for row in context.results
         if row.outcome == "not-run" and row.id in ran
     ]
-    counts = load.outcomes(context.told)
+    counts = load.outcomes(context.results)
     assert counts.get("ran", 0) > 20, counts
     assert counts.get("not-run", 0) > 0, counts
     assert not wrong, wrong[:3]
@@ -163,12 +163,12 @@
     counts = collections.Counter(run["body"] for run in context.ledger)
     twice = [body for body, count in counts.items() if count > 1]
     assert not twice, twice[:3]
-    assert all(row.right for row in context.told)
+    assert all(row.right for row in context.results)
 
 
 @then("every refusal came at once with Retry-After")
 def _(context):
-    refused = [row for row in context.told if row.status in (429, 502, 503)]
+    refused = [row for row in context.results if row.status in (429, 502, 503)]
     assert refused
     assert all(row.retry_after for row in refused)
     soon = [row.seconds for row in refused if row.outcome == "not-run"]
@@ -176,7 +176,7 @@
 
 
 @when(
-    "callers repeat keys through all entries for {seconds:d} s while homes "
+    "callers repeat keys through all entries for {seconds:d} s while owners "
     "change"
 )
 def _(context, seconds):
@@ -191,7 +191,7 @@
         key = source.choice(list(recent))
         return load.send(made, source.choice(entries), key=key, body=key)
 
-    _outlive_skew()
+    _wait_out_skew()
     with load.Load([call] * 8) as running:
         end = time.monotonic() + seconds
         member = made.services[-1]
@@ -204,23 +204,23 @@
             agent.kill()
             agent.start()
             time.sleep(1.0)
-    context.told = running.told
+    context.results = running.told
     context.ledger = _sent(made)
 
 
 @then("many keys have run")
 def _(context):
-    sent = {row.id for row in context.told}
+    sent = {row.id for row in context.results}
     ran = {run["body"] for run in context.ledger}
     assert len(ran) > len(sent) * 0.2, (len(ran), len(sent))
 
 
-def _outlive_skew():
-    """Wait until new keys are younger than agents by the clocks' skew."""
+def _wait_out_skew():
+    """Wait until new keys are younger than agents by the clock skew."""
     time.sleep(2.5)
 
 
-def _home_of(made, key):
+def _owner_of(made, key):
     runs = [run["by"] for run in made.ledger() if run["body"] == key]
     assert len(runs) == 1, runs
     return runs[0]
@@ -230,17 +230,17 @@
     return load.send(made, entry, key=key, body=key)
 
 
-@when("a key has run and its home restarts")
+@when("a key has run and its owner restarts")
 def _(context):
     made = context.cluster
-    _outlive_skew()
+    _wait_out_skew()
     context.key = load.uuid7()
     entry = made.entries[0][0]
     assert _send_key(made, entry, context.key).outcome == "ran"
-    context.home = _home_of(made, context.key)
-    made.processes[context.home].kill()
-    made.processes[context.home].start()
-    cluster.wait_for(lambda: made.ready(context.home), context.home)
+    context.owner = _owner_of(made, context.key)
+    made.processes[context.owner].kill()
+    made.processes[context.owner].start()
+    cluster.wait_for(lambda: made.ready(context.owner), context.owner)
 
 
 @then(
@@ -248,39 +248,41 @@
 )
 def _(context, outcome):
     made = context.cluster
-    told = cluster.wait_for(
-        lambda: _not_refused(made, context.key), "an answer from the home"
+    result = cluster.wait_for(
+        lambda: _not_refused(made, context.key), "an answer from the owner"
     )
-    assert told.outcome == outcome, told
-    _home_of(made, context.key)
+    assert result.outcome == outcome, result
+    _owner_of(made, context.key)
 
 
 def _not_refused(made, key):
-    told = _send_key(made, made.entries[-1][0], key)
-    return told if told.outcome != "not-run" else None
+    result = _send_key(made, made.entries[-1][0], key)
+    return result if result.outcome != "not-run" else None
 
 
-@then("a new key for that home runs")
+@then("a new key for that owner runs")
 def _(context):
     made = context.cluster
-    _outlive_skew()
+    _wait_out_skew()
 
     def ran_there():
         key = load.uuid7()
-        told = _send_key(made, made.entries[0][0], key)
-        return told.outcome == "ran" and _home_of(made, key) == context.home
+        result = _send_key(made, made.entries[0][0], key)
+        return (
+            result.outcome == "ran" and _owner_of(made, key) == context.owner
+        )
 
-    cluster.wait_for(ran_there, "a key to run at the restarted home")
+    cluster.wait_for(ran_there, "a key to run at the restarted owner")
 
 
 @when("the log is down and a key is sent through each entry")
 def _(context):
     made = context.cluster
-    _outlive_skew()
+    _wait_out_skew()
     made.platform(down=True)
     time.sleep(1.0)
     context.key = load.uuid7()
-    context.told = [
+    context.results = [
         _send_key(made, entry, context.key) for entry, _ in made.entries
     ]
     made.platform(down=False)
@@ -288,9 +290,9 @@
 
 @then("the key ran once and every answer is the same")
 def _(context):
-    _home_of(context.cluster, context.key)
-    assert {row.outcome for row in context.told} == {"ran"}, context.told
-    assert all(row.right for row in context.told)
+    _owner_of(context.cluster, context.key)
+    assert {row.outcome for row in context.results} == {"ran"}, context.results
+    assert all(row.right for row in context.results)
 
 
 @when("an upstream leaves under load, {how}")
@@ -320,7 +322,7 @@
         if "frozen" in how:
             made.processes[cut].thaw()
         time.sleep(3.0)
-    context.told = running.told
+    context.results = running.told
 
 
 @then("no new work reaches it after {seconds:d} s")
@@ -329,7 +331,7 @@
     runs = {run["body"]: run["by"] for run in made.ledger()}
     times = [
         row.at - context.left_at
-        for row in context.told
+        for row in context.results
         if runs.get(row.id) == context.leaver
     ]
     assert times and min(times) < 0, "it had work before it left"
@@ -337,7 +339,7 @@
     assert max(times) < seconds, max(times)
     after = [
         row
-        for row in context.told
+        for row in context.results
         if row.at > context.left_at + seconds and row.outcome == "ran"
     ]
     assert after, "the others went on serving"
--- a/features/steps/gone_upstream_steps.py
+++ b/features/steps/gone_upstream_steps.py
@@ -1,4 +1,4 @@
-"""Steps that kill the agent of an upstream before a stream has begun."""
+"""Steps that kill the agent of an upstream before streams have begun."""
 
 __copyright__ = "Copyright 2026 The reelscale maintainers"
 __license__ = "Apache-2.0"
@@ -19,8 +19,8 @@
     entry = made.entries[0][0]
 
     def run():
-        told = load.stream(made, entry, tokens, on_first=begun.append)
-        context.told.append(told)
+        result = load.stream(made, entry, tokens, on_first=begun.append)
+        context.results.append(result)
 
     thread = threading.Thread(target=run)
     thread.start()
@@ -37,7 +37,7 @@
 
 
 def _fill_budget(made):
-    """Ask often enough that the entry may make all its retries."""
+    """Send enough requests to fill the retry budget of the entry."""
     for _ in range(round(retry.INITIAL / retry.RATIO)):
         made.complete(made.entries[0][0], tokens=1).raise_for_status()
 
@@ -48,7 +48,7 @@
 )
 def _(context, tokens):
     made = context.cluster
-    context.told = []
+    context.results = []
     begun = []
     threads = [_start(context, tokens, begun)]
     cluster.wait_for(lambda: begun, "the stream to begin")
@@ -59,13 +59,13 @@
         thread.join(60)
 
 
-@when("{count:d} callers ask an engine that stands and its agent is killed")
+@when("{count:d} callers ask a frozen engine and its agent is killed")
 def _(context, count):
     made = context.cluster
     names = [name for name, _ in made.engines]
     _fill_budget(made)
-    context.told = []
-    # The engines step together, so that none gives a token now.
+    context.results = []
+    # The engines run in lockstep, so none produces a token now.
     made.processes[f"engine-{names[0]}"].freeze()
     threads = [_start(context, TOKENS, []) for _ in range(count)]
     cluster.wait_for(
@@ -79,20 +79,20 @@
         thread.join(60)
 
 
-@then("as many as the budget for retries holds go on elsewhere")
+@then("as many as the retry budget allows continue elsewhere")
 def _(context):
-    counts = load.outcomes(context.told)
+    counts = load.outcomes(context.results)
     assert context.lost > retry.INITIAL, context.lost
-    kept = len(context.told) - context.lost + int(retry.INITIAL)
-    assert counts.get("ran", 0) == kept, (context.lost, counts)
-    assert all(row.right for row in context.told)
+    expected = len(context.results) - context.lost + int(retry.INITIAL)
+    assert counts.get("ran", 0) == expected, (context.lost, counts)
+    assert all(row.right for row in context.results)
 
 
-@then("the others are told that it is unknown, with Retry-After")
+@then("the others get the outcome unknown, with Retry-After")
 def _(context):
-    counts = load.outcomes(context.told)
-    over = context.lost - int(retry.INITIAL)
-    assert counts.get("unknown", 0) == over, (context.lost, counts)
-    unknown = [row for row in context.told if row.outcome == "unknown"]
+    counts = load.outcomes(context.results)
+    unretried = context.lost - int(retry.INITIAL)
+    assert counts.get("unknown", 0) == unretried, (context.lost, counts)
+    unknown = [row for row in context.results if row.outcome == "unknown"]
     assert all(row.status == 502 for row in unknown), unknown
     assert all(row.retry_after for row in unknown), unknown
