--- a/features/steps/suspects_steps.py
+++ b/features/steps/suspects_steps.py
@@ -335,7 +335,8 @@
 def _(context):
     made = context.cluster
     rows = [row for name in made.http for row in made.log_lines(name)]
-    lines = [r for r in rows if r["text"].startswith("A request crashes")]
+    text = "Rejecting a request that crashes upstreams."
+    lines = [r for r in rows if r["text"] == text]
     assert len(lines) >= 1, rows[-5:]
     ended = [r for r in rows if r.get("code") == "crashes-upstreams"]
     assert len(ended) >= 4, ended
